--- a/gate/abandoned.go
+++ b/gate/abandoned.go
@@ -9,42 +9,43 @@
 )
 
 const (
-	// abandonedTime is how long before the last sign of life of an upstream an attempt may
-	// have been broken off from this side and have ended it since: about the longest work.
-	abandonedTime = 1 * time.Second
-	// abandonedKept is how many of them are remembered; a slot sees a few in that time.
-	abandonedKept = 64
+	// abandonedWindow is how long before the upstream's last activity an attempt may have been
+	// abandoned and still count as a possible cause of its crash: about the longest run time.
+	abandonedWindow = 1 * time.Second
+	// maxAbandoned bounds the list; a slot abandons a few attempts within abandonedWindow.
+	maxAbandoned = 64
 )
 
-// abandoned is an attempt that was broken off from this side. Its upstream may go on with
-// it: one under which upstreams end would be missed whose caller leaves before that.
-type abandoned struct {
-	print     quarantine.Print
-	upstream  port.Incarnation
-	began, at time.Time
+// abandonedAttempt is an attempt that the gate canceled. The upstream may go on running it, so
+// a request that crashes upstreams would go unnoticed if its callers always left first.
+type abandonedAttempt struct {
+	fingerprint quarantine.Print
+	upstream    port.Incarnation
+	started, at time.Time
 }
 
-// abandonedList holds the latest ones.
+// abandonedList holds the most recently abandoned attempts.
 type abandonedList struct {
 	mu   sync.Mutex
-	list []abandoned
+	list []abandonedAttempt
 }
 
-// note adds one, in place of the oldest if there are too many.
-func (l *abandonedList) note(a abandoned) {
+// add appends an attempt and evicts the oldest one when the list is full.
+func (l *abandonedList) add(a abandonedAttempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.list) >= abandonedKept {
+	if len(l.list) >= maxAbandoned {
 		l.list = l.list[1:]
 	}
 	l.list = append(l.list, a)
 }
 
-// take returns, once, those of an upstream that were broken off since a time.
-func (l *abandonedList) take(upstream port.Incarnation, since time.Time) []abandoned {
+// take removes all attempts of an upstream from the list and returns those that were abandoned
+// since a time.
+func (l *abandonedList) take(upstream port.Incarnation, since time.Time) []abandonedAttempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var taken, rest []abandoned
+	var taken, rest []abandonedAttempt
 	for _, a := range l.list {
 		switch {
 		case a.upstream != upstream:
@@ -57,20 +58,20 @@
 	return taken
 }
 
-// blameAbandoned takes note that an upstream has ended that may have run what was
-// broken off.
-func (g *Gate) blameAbandoned(upstream port.Incarnation) {
+// attributeCrash reports the crash of an upstream to the tracker for each recently abandoned
+// attempt that it may still have been running.
+func (g *Gate) attributeCrash(upstream port.Incarnation) {
 	g.mu.Lock()
-	since := g.alive.Add(-abandonedTime)
+	since := g.lastActivity.Add(-abandonedWindow)
 	g.mu.Unlock()
 	for _, a := range g.abandoned.take(upstream, since) {
-		g.book.Ended(time.Now(), a.print, upstream.String(), a.began)
+		g.tracker.Ended(time.Now(), a.fingerprint, upstream.String(), a.started)
 	}
 }
 
-// noteAlive takes note of a sign of life of the upstream that is there.
-func (g *Gate) noteAlive() {
+// markActive records activity of the current upstream.
+func (g *Gate) markActive() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.alive = time.Now()
+	g.lastActivity = time.Now()
 }
--- a/gate/admission.go
+++ b/gate/admission.go
@@ -11,11 +11,11 @@
 	"eiderfold/switches"
 )
 
-// grantTime is how long a granted slot waits for its commit: far over a round trip,
-// and short against the work it keeps out.
-const grantTime = 400 * time.Millisecond
+// grantTimeout is how long a granted slot waits for its commit: far longer than a round trip,
+// and short enough not to waste the slot.
+const grantTimeout = 400 * time.Millisecond
 
-// phase is how far an offer has come.
+// phase is the stage that an admitted offer has reached.
 type phase uint8
 
 const (
@@ -24,51 +24,52 @@
 	running
 )
 
-// entry is an offer that the gate has in hand.
+// entry is an offer that is queued, granted or running.
 type entry struct {
 	Offered
-	phase    phase
-	place    overload.Place // In the queue.
-	until    time.Time      // When a grant lapses, or the wait in the queue ends.
-	admitted time.Time      // When it was given its slot.
-	started  time.Time
-	upstream port.Incarnation // That runs it.
-	sample   *sample          // What it says of the upstream, once it runs.
-	taken    time.Time        // When the budget counted it as a repeat.
-	hung     bool             // Counted as a failed try already.
-	warned   bool             // Told to be silent already.
+	phase       phase
+	position    overload.Place // Key in the queue.
+	expires     time.Time      // When a grant lapses, or the wait in the queue ends.
+	admitted    time.Time      // When it got its slot.
+	started     time.Time
+	upstream    port.Incarnation // The incarnation that runs it.
+	sample      *sample          // Evidence for the hang detector, once it runs.
+	budgetTaken time.Time        // When it was taken from the budget as a repeat.
+	hung        bool             // Already counted as a bad outcome.
+	warned      bool             // A Warn command was returned for it.
 }
 
-// Admission decides what the upstream is given. It is not safe for concurrent use.
+// Admission decides which offers the upstream runs, and when. It is not safe for concurrent
+// use.
 type Admission struct {
 	health
 	budget   *budget.Budget
 	service  string
-	upstream port.Incarnation // That is believed to be there, if any is.
+	upstream port.Incarnation // The current incarnation; its ID is "" if there is none.
 	slots    int
 	sequence uint64
 	mode     link.Mode // As last announced.
-	// unconfirmed is set until it is known that the incarnation was not
-	// acknowledged as leaving by an earlier process.
+	// unconfirmed is set until a lookup has shown whether an earlier process acknowledged the
+	// incarnation as leaving.
 	unconfirmed bool
 	stopping    bool
-	evacuated   bool // The data centre is to get no new work.
-	cold        cold
-	left        []port.Incarnation // That leave or have left.
-	past        []port.Incarnation // That were replaced.
+	evacuated   bool // The data centre gets no new work.
+	cold        coldLimiter
+	leaving     []port.Incarnation // Incarnations that are leaving or have left.
+	replaced    []port.Incarnation // Incarnations that were replaced.
 	entries     map[link.Key]*entry
 	queue       []*entry
 }
 
-// NewAdmission returns the admission to an upstream of which nothing is known.
+// NewAdmission returns an admission that stays closed until its upstream has reported.
 func NewAdmission(service string, b *budget.Budget) *Admission {
 	return &Admission{service: service, budget: b, entries: map[link.Key]*entry{}}
 }
 
-// SetSwitches says which mechanisms are on, before the first message.
+// SetSwitches sets which mechanisms are on. Call it before the first message.
 func (a *Admission) SetSwitches(s switches.Set) { a.switches = s }
 
-// Update takes a message and returns what is to be done.
+// Update processes a message and returns the commands that follow from it.
 func (a *Admission) Update(m Message) []Command {
 	var out []Command
 	switch m := m.(type) {
@@ -86,20 +87,20 @@
 		a.confirmed(m)
 	case Evacuated:
 		a.evacuate(m)
-	case Bounded:
+	case ColdBoundChanged:
 		a.cold.setBound(m.Cold)
 	case Stopping:
 		a.stopping = true
 	case Ticked:
 		out = a.ticked(m.At)
 	}
-	return append(out, a.settle(m.at())...)
+	return append(out, a.reconcile(m.at())...)
 }
 
 // Mode returns how the gate takes work now.
 func (a *Admission) Mode() link.Mode {
 	switch {
-	case a.upstream.ID == "" || a.unconfirmed || a.stopping || a.evacuated || slices.Contains(a.left, a.upstream):
+	case a.upstream.ID == "" || a.unconfirmed || a.stopping || a.evacuated || slices.Contains(a.leaving, a.upstream):
 		return link.ModeClosed
 	case a.trial:
 		return link.ModeTrial
@@ -108,65 +109,66 @@
 	}
 }
 
-// Status returns what other nodes are told.
+// Status returns the status that is sent to other nodes.
 func (a *Admission) Status() link.Status {
-	return link.Status{Mode: a.Mode(), Upstream: a.upstream.ID, Slots: a.slots, Usual: a.usual, Suspect: a.suspicion}
+	return link.Status{Mode: a.Mode(), Upstream: a.upstream.ID, Slots: a.slots, Usual: a.meanResponseTime, Suspect: a.suspicion}
 }
 
-// offered grants a slot, queues the offer, or refuses it when the queue would make
-// its answer come too late to be worth much.
+// offered grants a slot, queues the offer, or refuses it if the wait in the queue would make
+// its answer too late.
 func (a *Admission) offered(m Offered) []Command {
-	if reason := a.objection(m); reason != link.ReasonNone {
+	if reason := a.refusalReason(m); reason != link.ReasonNone {
 		return a.refuse(m, reason)
 	}
-	e := &entry{Offered: m, place: overload.NewPlace(m.At, m.Priority, m.Aim, m.Deadline)}
-	likely := a.likely(m.Kind, m.Aim.Sub(m.At))
+	e := &entry{Offered: m, position: overload.NewPlace(m.At, m.Priority, m.Aim, m.Deadline)}
+	expected := a.expectedTime(m.Kind, m.Aim.Sub(m.At))
 	if a.switches.On(switches.LateLast) {
-		e.place.Note(m.At, likely)
+		e.position.Note(m.At, expected)
 	}
-	// What waits in the queue while a slot is free is an order in doubt; it holds
-	// nobody up.
-	if a.free(m.At, e) {
+	// An entry that is queued while a slot is free is a non-retryable request that has to wait
+	// (mustWait). It does not block others.
+	if a.canAdmit(m.At, e) {
 		a.entries[m.Key] = e
 		return a.admit(m.At, e)
 	}
 	if a.Mode() == link.ModeTrial {
 		return a.refuse(m, link.ReasonTrial)
 	}
-	i, _ := slices.BinarySearchFunc(a.queue, e, order)
+	i, _ := slices.BinarySearchFunc(a.queue, e, compareQueued)
 	wait := a.wait(m.At, i)
-	if i >= queuePerSlot*a.slots || m.At.Add(wait+likely).After(e.place.Limit()) || !a.roomFor(e, wait) {
+	if i >= maxQueuePerSlot*a.slots || m.At.Add(wait+expected).After(e.position.Limit()) || !a.mayWait(e, wait) {
 		return []Command{Refuse{Key: m.Key, Reason: link.ReasonBusy, After: wait}}
 	}
-	e.Ready = false // Another gate may be given it meanwhile; a commit decides.
+	e.Ready = false // Another gate may get the request meanwhile; the commit decides.
 	a.entries[m.Key] = e
-	e.until = m.At.Add(time.Duration(queueShare * float64(m.Deadline.Sub(m.At))))
+	e.expires = m.At.Add(time.Duration(maxWaitShare * float64(m.Deadline.Sub(m.At))))
 	a.queue = slices.Insert(a.queue, i, e)
 	return []Command{Queue{Key: m.Key}}
 }
 
-// refuse refuses an offer for a reason other than its wait in the queue.
+// refuse refuses an offer for any reason other than its wait in the queue.
 func (a *Admission) refuse(m Offered, reason link.Reason) []Command {
-	return []Command{Refuse{Key: m.Key, Reason: reason, After: a.after(m.At, reason)}}
+	return []Command{Refuse{Key: m.Key, Reason: reason, After: a.retryAfter(m.At, reason)}}
 }
 
-// after is when an offer that was refused for a reason may be made again.
-func (a *Admission) after(at time.Time, reason link.Reason) time.Duration {
+// retryAfter returns how soon an offer that was refused for a reason may be made again; 0 for
+// no advice.
+func (a *Admission) retryAfter(at time.Time, reason link.Reason) time.Duration {
 	if reason != link.ReasonTrial {
 		return 0
 	}
-	return a.nextTrial(at, a.trying() >= a.tries())
+	return a.trialRetryAfter(at, a.trialAttempts() >= a.maxTrialAttempts())
 }
 
-// objection returns why an offer is not taken at all, whatever is free.
-func (a *Admission) objection(m Offered) link.Reason {
+// refusalReason returns why an offer cannot be taken even if a slot is free.
+func (a *Admission) refusalReason(m Offered) link.Reason {
 	switch mode := a.Mode(); {
 	case m.Service != a.service || (m.Upstream != "" && a.upstream.ID != "" && m.Upstream != a.upstream.ID):
 		return link.ReasonMisdirected
 	case mode == link.ModeClosed:
 		return link.ReasonClosed
 	case a.entries[m.Key] != nil:
-		return link.ReasonMisdirected // The same offer twice; the first one stands.
+		return link.ReasonMisdirected // A duplicate; the first offer stays valid.
 	case mode == link.ModeTrial && !m.Retryable && !m.Force:
 		return link.ReasonTrial
 	case !m.Deadline.After(m.At):
@@ -181,8 +183,8 @@
 // busy returns how many slots are granted or in use.
 func (a *Admission) busy() int { return len(a.entries) - len(a.queue) }
 
-// granted returns how many have a slot that wait for their commits.
-func (a *Admission) granted() int {
+// awaitingCommit returns how many slots are granted and wait for their commits.
+func (a *Admission) awaitingCommit() int {
 	n := 0
 	for _, e := range a.entries {
 		if e.phase == granted {
@@ -192,59 +194,60 @@
 	return n
 }
 
-// evacuate closes the gate, or opens it again. The upstream was idle meanwhile, and may
-// have turned cold.
+// evacuate closes the gate, or opens it again. An upstream that was idle during an evacuation
+// may have become cold.
 func (a *Admission) evacuate(m Evacuated) {
 	if a.evacuated && !m.On {
-		a.cold.suppose(m.At)
+		a.cold.assumeCold(m.At)
 	}
 	a.evacuated = m.On
 }
 
-// Crowded tells whether no slot is free: who has one keeps others out.
+// Crowded reports whether all slots are taken.
 func (a *Admission) Crowded() bool { return a.busy() >= a.slots }
 
-// free tells whether a slot is there for the entry. While it is doubtful whether the
-// upstream answers, orders wait for an answer to somebody else, or go elsewhere.
-func (a *Admission) free(at time.Time, e *entry) bool {
+// canAdmit reports whether the entry may get a slot now. While the upstream may be
+// unresponsive, non-retryable requests stay in the queue until another attempt is answered, or
+// go to another gate.
+func (a *Admission) canAdmit(at time.Time, e *entry) bool {
 	busy := a.busy()
 	switch {
-	case !a.cold.room(at, a.granted()):
+	case !a.cold.allows(at, a.awaitingCommit()):
 		return false
 	case a.Mode() != link.ModeTrial:
-		return busy < a.slots && !a.holds(at, e)
+		return busy < a.slots && !a.mustWait(at, e)
 	case e.Force:
-		return busy < a.forced(a.slots)
+		return busy < a.maxForced(a.slots)
 	default:
-		return busy < a.slots && a.trying() < a.tries() && !e.At.Before(a.trialFrom)
+		return busy < a.slots && a.trialAttempts() < a.maxTrialAttempts() && !e.At.Before(a.nextTrialAt)
 	}
 }
 
-// holds tells whether an order has to wait because the upstream may not answer it.
-// While nothing runs one order goes ahead: a service may have no other requests, and
-// its doubts would never end.
-func (a *Admission) holds(at time.Time, e *entry) bool {
+// mustWait reports whether a non-retryable request has to wait because the upstream may not
+// answer it. While nothing else runs, one goes ahead: a service may have no other requests, and
+// without any attempt the evidence would never change.
+func (a *Admission) mustWait(at time.Time, e *entry) bool {
 	if e.Retryable || e.Force || a.busy() == 0 || !a.switches.On(switches.Hold) {
 		return false
 	}
-	return a.evidence(at) >= silenceAtHold
+	return a.evidence(at) >= holdEvidence
 }
 
-// trying returns how many tries are in hand: attempts of this trial that may still
-// succeed. What hung before it began holds a slot, and keeps no try out.
-func (a *Admission) trying() int {
+// trialAttempts returns how many attempts of this trial may still succeed. Attempts that hang,
+// or started before the trial, occupy slots but do not count.
+func (a *Admission) trialAttempts() int {
 	n := 0
 	for _, e := range a.entries {
-		if e.phase != queued && !e.hung && !e.admitted.Before(a.trialBegan) {
+		if e.phase != queued && !e.hung && !e.admitted.Before(a.trialStarted) {
 			n++
 		}
 	}
 	return n
 }
 
-// admit gives the entry a slot, to start at once or to wait for its commit.
+// admit gives the entry a slot. It starts at once, or waits for its commit.
 func (a *Admission) admit(at time.Time, e *entry) []Command {
-	if !a.pay(at, e) {
+	if !a.takeBudget(at, e) {
 		delete(a.entries, e.Key)
 		return []Command{Refuse{Key: e.Key, Reason: link.ReasonBudget}}
 	}
@@ -253,35 +256,36 @@
 		return a.start(at, e)
 	}
 	e.phase = granted
-	e.until = at.Add(grantTime)
+	e.expires = at.Add(grantTimeout)
 	return []Command{Grant{Key: e.Key}}
 }
 
-// pay takes a repeat from the budget, which may not have it.
-func (a *Admission) pay(at time.Time, e *entry) bool {
+// takeBudget takes a repeat from the budget and reports whether the entry may start. An entry
+// that is no repeat needs no budget.
+func (a *Admission) takeBudget(at time.Time, e *entry) bool {
 	if !e.Claim.Repeats() {
 		return true
 	}
 	if !a.budget.Take(at, e.Claim) {
 		return false
 	}
-	e.taken = at
+	e.budgetTaken = at
 	return true
 }
 
-// start marks the entry as running, from when on it may have run.
+// start marks the entry as running. From now on the request may have run.
 func (a *Admission) start(at time.Time, e *entry) []Command {
 	e.phase = running
 	e.started = at
 	e.upstream = a.upstream
-	e.sample = a.begin(at, e.Kind, e.Aim)
-	a.cold.began(at)
-	a.earn(at, e.Claim)
+	e.sample = a.addSample(at, e.Kind, e.Aim)
+	a.cold.noteStart(at)
+	a.countStart(at, e.Claim)
 	return []Command{Start{Key: e.Key}}
 }
 
-// earn tells the budget of an attempt that starts and was not taken from it.
-func (a *Admission) earn(at time.Time, c budget.Claim) {
+// countStart counts the start of an attempt that needs no budget.
+func (a *Admission) countStart(at time.Time, c budget.Claim) {
 	if c.Repeats() {
 		return
 	}
@@ -291,8 +295,8 @@
 	}
 }
 
-// committed starts a granted offer. Without its grant, which may have lapsed, it
-// has not run, and the ingress is told so.
+// committed starts a granted offer. If the grant has lapsed, the request has not run and is
+// refused as never seen.
 func (a *Admission) committed(m Committed) []Command {
 	e := a.entries[m.Key]
 	if e == nil || e.phase != granted {
@@ -301,7 +305,7 @@
 	return a.start(m.At, e)
 }
 
-// withdrawn frees what the offer holds.
+// withdrawn frees the offer's slot or its place in the queue.
 func (a *Admission) withdrawn(m Withdrawn) []Command {
 	e := a.entries[m.Key]
 	if e == nil {
@@ -311,14 +315,14 @@
 		if e.Retryable {
 			return []Command{Abort{Key: m.Key}}
 		}
-		return nil // It has begun and may not be repeated: let it finish.
+		return nil // It has started and may not be repeated: let it finish.
 	}
 	a.drop(e)
 	return nil
 }
 
-// ended frees the slot and learns from the outcome, unless it is that of an earlier
-// incarnation: its word, even that another one holds the address, is old.
+// ended frees the slot and learns from the outcome. Outcomes of an earlier incarnation are
+// ignored, also Replaced: they are out of date.
 func (a *Admission) ended(m Ended) []Command {
 	e := a.entries[m.Key]
 	if e == nil {
@@ -332,7 +336,7 @@
 		a.retire()
 		return nil
 	}
-	a.conclude(m, e)
-	a.observe(m.At, m.Outcome, m.Took)
+	a.closeSample(m, e)
+	a.recordOutcome(m.At, m.Outcome, m.Took)
 	return nil
 }
--- a/gate/answer.go
+++ b/gate/answer.go
@@ -14,40 +14,41 @@
 	"eiderfold/port"
 )
 
-// maxAnswerBytes bounds an answer, which is held whole; as large as a body.
+// maxAnswerBytes bounds an answer, which is buffered in memory.
 const maxAnswerBytes = 64 << 20
 
-// answer is what the upstream said, whole.
+// answer is a complete response of the upstream.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// judge tells whether an answer is the upstream's own and whole.
-func (c *client) judge(a *answer, terms port.AnswerTerms, reusable bool) (*answer, bool, *failure) {
+// classify checks whether an answer is complete and comes from the upstream itself, and returns
+// a failure if not.
+func (c *client) classify(a *answer, meta port.AnswerTerms, reusable bool) (*answer, bool, *failure) {
 	switch {
-	case terms.NotRun && a.status == http.StatusMisdirectedRequest:
-		return nil, reusable, &failure{outcome: Replaced, reason: link.ReasonMisdirected, detail: "the address is held by " + terms.Upstream}
-	case terms.NotRun:
+	case meta.NotRun && a.status == http.StatusMisdirectedRequest:
+		return nil, reusable, &failure{outcome: Replaced, reason: link.ReasonMisdirected, detail: "the address is held by " + meta.Upstream}
+	case meta.NotRun:
 		return nil, reusable, &failure{outcome: Shed, reason: link.ReasonShed, detail: "refused with status " + strconv.Itoa(a.status)}
-	case terms.Attempt == "":
+	case meta.Attempt == "":
 		return nil, false, &failure{outcome: Broken, detail: "an answer that names no request"}
 	case a.header.Get("Content-Encoding") != "":
 		return nil, false, &failure{outcome: Broken, detail: "an answer in an encoding that nobody asked for"}
-	case !terms.Genuine && a.status < http.StatusBadRequest:
+	case !meta.Genuine && a.status < http.StatusBadRequest:
 		return nil, false, &failure{outcome: Broken, detail: "a success that no upstream made"}
-	case promises(a.status):
-		// Without the upstream's mark it may have run, and the status would say
-		// to the caller that it has not.
+	case impliesNotRun(a.status):
+		// Without the upstream's not-run header the request may have run, but the status would
+		// tell the caller that it has not.
 		return nil, reusable, &failure{outcome: Erred, detail: "status " + strconv.Itoa(a.status) + " without the mark of a refusal"}
 	default:
 		return a, reusable, nil
 	}
 }
 
-// promises tells whether a status says that a request has not run.
-func promises(status int) bool {
+// impliesNotRun reports whether a status means that the request has not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -56,25 +57,25 @@
 	}
 }
 
-// failed tells what a missing answer says of the upstream: nothing if it was only
-// late, since the deadline may have been short.
-func (c *client) failed(err, sent error) *failure {
-	var late net.Error
-	if errors.As(err, &late) && late.Timeout() {
+// failed returns the failure for a missing answer. A timeout is no evidence against the
+// upstream, since the deadline may have been short.
+func (c *client) failed(err, writeErr error) *failure {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		return &failure{outcome: NoEvidence, detail: "no answer within the deadline"}
 	}
-	if sent != nil {
-		return &failure{outcome: Broken, detail: "send: " + sent.Error(), cut: true}
+	if writeErr != nil {
+		return &failure{outcome: Broken, detail: "send: " + writeErr.Error(), closedByPeer: true}
 	}
-	return &failure{outcome: Broken, detail: err.Error(), cut: cut(err)}
+	return &failure{outcome: Broken, detail: err.Error(), closedByPeer: closedByPeer(err)}
 }
 
-// cut tells whether an error says that the other side ended the connection.
-func cut(err error) bool {
+// closedByPeer reports whether an error means that the upstream closed the connection.
+func closedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// read takes one final answer from the connection, whole.
+// read reads one final answer from the connection.
 func (c *client) read(conn *upstreamConn, method string) (*answer, bool, error) {
 	for {
 		response, err := http.ReadResponse(conn.reader, &http.Request{Method: method})
@@ -91,17 +92,17 @@
 		if len(body) > maxAnswerBytes {
 			return nil, false, errors.New("answer's body is too large")
 		}
-		conn.idleUntil = time.Now().Add(idleTime(response.Header))
+		conn.idleUntil = time.Now().Add(keepAliveTimeout(response.Header))
 		return &answer{status: response.StatusCode, header: response.Header, body: body}, !response.Close && conn.reader.Buffered() == 0, nil
 	}
 }
 
-// failure is why an attempt brought no answer.
+// failure describes why an attempt got no answer.
 type failure struct {
-	outcome Outcome
-	reason  link.Reason // Set when the request has not run for certain.
-	detail  string
-	cut     bool // The upstream ended the connection.
-	// processEnded says that the upstream's process was gone when the attempt had broken.
+	outcome      Outcome
+	reason       link.Reason // Set only if the request has certainly not run.
+	detail       string
+	closedByPeer bool // The upstream closed the connection.
+	// processEnded is set if nothing listened at the upstream's address when the attempt failed.
 	processEnded bool
 }
--- a/gate/answertimes.go
+++ b/gate/answertimes.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// timesGain is the least weight of one answer: the last forty or so count.
-	timesGain = 0.04
-	// Until there are answers, times spread by assumedSpread (of their logarithm),
-	// as if seen in assumedCount answers: short work varies about so much.
+	// minGain is the least weight of a new answer: about the last forty answers count.
+	minGain = 0.04
+	// assumedSpread is the prior standard deviation of the logarithm of answer times, weighted
+	// as assumedCount answers. Short requests vary by about that much.
 	assumedSpread = 0.8
 	assumedCount  = 3
-	// leastTime is under what times are not told apart: scheduling noise.
-	leastTime = 3 * time.Millisecond
+	// minAnswerTime is the resolution: shorter times differ by scheduling noise only.
+	minAnswerTime = 3 * time.Millisecond
 )
 
-// answerTimes follows how long the answers of one kind of request take, as a
-// lognormal distribution.
+// answerTimes estimates the distribution of the answer times of one kind of request as
+// lognormal.
 type answerTimes struct {
 	count    int
 	mean     float64 // Of the logarithm of seconds.
 	variance float64
 }
 
-// add takes the time of one answer.
+// add updates the estimate with one answer time.
 func (t *answerTimes) add(took time.Duration) {
-	x := math.Log(max(took, leastTime).Seconds())
+	x := math.Log(max(took, minAnswerTime).Seconds())
 	t.count++
-	gain := max(1/float64(t.count), timesGain)
+	gain := max(1/float64(t.count), minGain)
 	off := x - t.mean
 	t.mean += gain * off
 	t.variance = (1 - gain) * (t.variance + gain*off*off)
 }
 
-// median returns the time that half of the answers take.
+// median returns the estimated median.
 func (t *answerTimes) median() time.Duration {
 	return time.Duration(math.Exp(t.mean) * float64(time.Second))
 }
 
-// beyond returns the chance that an answer takes longer than this.
-func (t *answerTimes) beyond(took time.Duration) float64 {
-	if took <= leastTime {
+// tailProbability returns the probability that an answer takes longer than took.
+func (t *answerTimes) tailProbability(took time.Duration) float64 {
+	if took <= minAnswerTime {
 		return 1
 	}
 	n := float64(t.count)
--- a/gate/cold.go
+++ b/gate/cold.go
@@ -5,69 +5,69 @@
 	"time"
 )
 
-// coldWindow is over which the starts of a cold upstream are counted.
+// coldWindow is the sliding window over which starts on a cold upstream are counted.
 const coldWindow = time.Second
 
-// ColdBound is what an upstream bears while it is cold: after a start, and at any time it
-// says so.
+// ColdBound limits the load of an upstream while it is cold: after a start, and whenever it
+// reports so.
 type ColdBound struct {
-	Time time.Duration // How long it is cold after a start.
-	Rate float64       // Requests a second; 0 for any number.
+	Time time.Duration // How long an upstream is cold after a start.
+	Rate float64       // Requests a second; 0 for no limit.
 }
 
-// cold paces the work of an upstream that is cold. Callers that were turned away by the
-// others of its service come to it all at once, and it falls over: so in any second it
-// begins no more than it bears.
-type cold struct {
+// coldLimiter limits the rate of starts on a cold upstream. Without it, callers refused by the
+// other gates of the service would all come to this one at once and overload it.
+type coldLimiter struct {
 	bound  ColdBound
 	until  time.Time
 	starts []time.Time // Within the last coldWindow, oldest first.
 }
 
-// setBound takes note of what the upstream bears.
-func (c *cold) setBound(b ColdBound) { c.bound = b }
+// setBound sets the limit.
+func (c *coldLimiter) setBound(b ColdBound) { c.bound = b }
 
-// reported takes the upstream's word on how much longer it is cold.
-func (c *cold) reported(at time.Time, left time.Duration) { c.until = at.Add(left) }
+// setRemaining sets how much longer the upstream is cold, as it reports.
+func (c *coldLimiter) setRemaining(at time.Time, left time.Duration) { c.until = at.Add(left) }
 
-// suppose takes it that the upstream is cold as after a start, until it says otherwise.
-func (c *cold) suppose(at time.Time) {
+// assumeCold treats the upstream as cold as after a start, until it reports otherwise.
+func (c *coldLimiter) assumeCold(at time.Time) {
 	if until := at.Add(c.bound.Time); until.After(c.until) {
 		c.until = until
 	}
 }
 
-// paced tells whether the bound counts now.
-func (c *cold) paced(at time.Time) bool { return c.bound.Rate > 0 && at.Before(c.until) }
+// limited reports whether the limit applies now.
+func (c *coldLimiter) limited(at time.Time) bool { return c.bound.Rate > 0 && at.Before(c.until) }
 
-// began takes note of a start, also while the upstream is warm: it may turn cold.
-func (c *cold) began(at time.Time) {
+// noteStart records a start, also while the upstream is warm: it may become cold.
+func (c *coldLimiter) noteStart(at time.Time) {
 	if c.bound.Rate > 0 {
 		c.trim(at)
 		c.starts = append(c.starts, at)
 	}
 }
 
-// trim forgets what is no longer counted.
-func (c *cold) trim(at time.Time) {
+// trim removes starts that are older than coldWindow.
+func (c *coldLimiter) trim(at time.Time) {
 	c.starts = slices.DeleteFunc(c.starts, func(t time.Time) bool { return at.Sub(t) >= coldWindow })
 }
 
-// most is how many may start in a window.
-func (c *cold) most() int { return max(int(c.bound.Rate*coldWindow.Seconds()), 1) }
+// maxStarts returns how many requests may start within coldWindow.
+func (c *coldLimiter) maxStarts() int { return max(int(c.bound.Rate*coldWindow.Seconds()), 1) }
 
-// room tells whether one more may start, with so many granted that start with their commit.
-func (c *cold) room(at time.Time, granted int) bool {
-	if !c.paced(at) {
+// allows reports whether one more request may start. Granted offers count as starts, as their
+// commits will start them.
+func (c *coldLimiter) allows(at time.Time, granted int) bool {
+	if !c.limited(at) {
 		return true
 	}
 	c.trim(at)
-	return len(c.starts)+granted < c.most()
+	return len(c.starts)+granted < c.maxStarts()
 }
 
-// wait is how long the pace keeps an offer with so many before it.
-func (c *cold) wait(at time.Time, before int) time.Duration {
-	if !c.paced(at) {
+// wait returns how long the limit delays an offer with this many offers before it.
+func (c *coldLimiter) wait(at time.Time, before int) time.Duration {
+	if !c.limited(at) {
 		return 0
 	}
 	return min(time.Duration(float64(before+1)/c.bound.Rate*float64(time.Second)), c.until.Sub(at))
--- a/gate/cold_test.go
+++ b/gate/cold_test.go
@@ -11,15 +11,13 @@
 	"eiderfold/port"
 )
 
-// A data centre comes back after an evacuation with all of its upstreams cold, and callers
-// that wait for them come at once. A cold upstream falls over well above what it bears, and
-// all who send to it count together: with 40 offers at once and eight slots of short work,
-// some 60 starts came in its first second. Its gate sees them all, so it paces them.
-func TestColdUpstreamIsPaced(t *testing.T) {
+// After an evacuation, all waiting callers come to cold upstreams at once. The gate must limit
+// the rate of starts however many slots are free, or the upstream would be overloaded.
+func TestColdUpstreamIsRateLimited(t *testing.T) {
 	const rate = 11
 	begin := time.Unix(1_000_000, 0)
 	a := NewAdmission(scriptService, budget.New(1, 400, time.Time{}))
-	a.Update(Bounded{At: begin, Cold: ColdBound{Time: 3 * time.Second, Rate: rate}})
+	a.Update(ColdBoundChanged{At: begin, Cold: ColdBound{Time: 3 * time.Second, Rate: rate}})
 	i := port.Incarnation{ID: "i-1"}
 	a.Update(Reported{At: begin, Report: port.Report{Incarnation: i, Service: scriptService, Slots: 8, Sequence: 1, ColdLeft: 3 * time.Second}})
 	a.Update(Confirmed{At: begin, Upstream: i})
@@ -63,5 +61,5 @@
 		most = max(most, count)
 	}
 	assert.LessOrEqual(t, most, rate, "starts within a second")
-	assert.GreaterOrEqual(t, len(starts), 2*rate, "it works at its pace all the same")
+	assert.GreaterOrEqual(t, len(starts), 2*rate, "starts go on at the allowed rate")
 }
--- a/gate/confirm.go
+++ b/gate/confirm.go
@@ -9,20 +9,20 @@
 	"eiderfold/port"
 )
 
-// confirmPause is the pause between two tries to find out whether an upstream leaves.
-const confirmPause = 250 * time.Millisecond
+// confirmInterval is the pause between two checks whether an upstream is leaving.
+const confirmInterval = 250 * time.Millisecond
 
-// Records remembers, beyond this process, which incarnations leave.
+// Records holds which incarnations are leaving. It outlives this process.
 type Records interface {
-	// Leaving tells whether an incarnation was recorded as leaving.
+	// Leaving reports whether an incarnation was recorded as leaving.
 	Leaving(ctx context.Context, upstream port.Incarnation) (bool, error)
 }
 
-// confirm finds out whether an incarnation leaves: from the records, and while
-// those cannot be read, from the upstream itself.
+// confirm finds out whether an incarnation is leaving: from the records or, while those cannot
+// be read, from the upstream's health check. It retries until it succeeds.
 func (g *Gate) confirm(upstream port.Incarnation) {
 	for {
-		leaving, source, err := g.leaves(upstream)
+		leaving, source, err := g.checkLeaving(upstream)
 		if err == nil {
 			g.log.Info("upstream confirmed", zap.Stringer("upstream", upstream), zap.Bool("leaving", leaving), zap.String("source", source))
 			g.update(Confirmed{At: time.Now(), Upstream: upstream, Leaving: leaving})
@@ -32,13 +32,13 @@
 		select {
 		case <-g.done:
 			return
-		case <-time.After(confirmPause):
+		case <-time.After(confirmInterval):
 		}
 	}
 }
 
-// leaves asks once, and says who answered.
-func (g *Gate) leaves(upstream port.Incarnation) (leaving bool, source string, err error) {
+// checkLeaving checks once and returns the source of the result.
+func (g *Gate) checkLeaving(upstream port.Incarnation) (leaving bool, source string, err error) {
 	if g.records == nil {
 		return false, "no records", nil
 	}
@@ -54,9 +54,9 @@
 	}
 	check, stop := context.WithTimeout(context.Background(), connectTimeout)
 	defer stop()
-	who, checked := g.client.checkHealth(check, path)
-	if checked != nil {
-		return false, "", checked
+	reported, checkErr := g.client.checkHealth(check, path)
+	if checkErr != nil {
+		return false, "", checkErr
 	}
-	return who != upstream.ID, "health check", nil
+	return reported != upstream.ID, "health check", nil
 }
--- a/gate/quiet.go
+++ b/gate/conncheck.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// quiet tells whether an idle connection is open and has nothing to read. What
-// could be read would be the end of the connection or an answer to nobody.
-func quiet(c *upstreamConn) bool {
+// isUsable reports whether an idle connection is open and has nothing to read. Readable data
+// would be an EOF or an answer that belongs to no request.
+func isUsable(c *upstreamConn) bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -19,12 +19,12 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = err == syscall.EAGAIN
+		empty = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && silent
+	return err == nil && empty
 }
--- a/gate/connection.go
+++ b/gate/connection.go
@@ -15,52 +15,51 @@
 )
 
 const (
-	// connectTimeout bounds a connection to the same instance, which takes 1 ms.
+	// connectTimeout bounds connecting within the same instance, which usually takes 1 ms.
 	connectTimeout = 1 * time.Second
-	// endCheckTime bounds the look whether a process still listens: a port without one
-	// refuses within a millisecond, and an answer waits for the look.
-	endCheckTime = 50 * time.Millisecond
-	// keptTime is how long an idle connection is used again for a retryable
-	// request, unless the upstream says less.
-	keptTime = 4 * time.Second
-	// keptOnceTime is the same for a request that may run only once: should the
-	// connection die under it, its outcome would be unknown. A connection that was
-	// just used is not being closed for idleness, also by an upstream that forgets
-	// them after 300 ms.
-	keptOnceTime = 200 * time.Millisecond
-	// A connection that broke under a request after a rest shortens the time that
-	// others are kept to restShare of that rest, not under restLeast; every answer
-	// lengthens it by restGrowth.
-	restShare  = 0.7
-	restLeast  = 100 * time.Millisecond
-	restGrowth = 1.1
-	// keepAliveShare is the part of the upstream's own idle time that is used.
+	// listenCheckTimeout bounds the check whether a process still listens. A port without a
+	// listener refuses within a millisecond, and the result of the attempt waits for the check.
+	listenCheckTimeout = 50 * time.Millisecond
+	// maxIdleTime is how long an idle connection may be reused for a retryable request, unless
+	// the upstream announces less.
+	maxIdleTime = 4 * time.Second
+	// maxIdleTimeOnce is the same for a request that may run only once: if the connection broke
+	// during the request, its outcome would be unknown. Even an upstream that closes idle
+	// connections after 300 ms does not close one that was used so recently.
+	maxIdleTimeOnce = 200 * time.Millisecond
+	// If a connection breaks during a request after an idle time, the limit for other
+	// connections shrinks to idleShrink times that idle time, at least minIdleTime. Each answer
+	// raises the limit by the factor idleGrowth.
+	idleShrink  = 0.7
+	minIdleTime = 100 * time.Millisecond
+	idleGrowth  = 1.1
+	// keepAliveShare is the part of the upstream's announced keep-alive timeout that is used.
 	keepAliveShare = 0.6
-	// bufferBytes is the size of a connection's buffer for reading: most headers fit.
-	bufferBytes = 4 << 10
-	// maxIdle is how many idle connections are kept.
-	maxIdle = 16
+	// readBufferBytes is the size of a connection's read buffer, large enough for most headers.
+	readBufferBytes = 4 << 10
+	// maxIdleConns bounds the idle connections that are kept.
+	maxIdleConns = 16
 )
 
-// upstreamConn is a connection to the upstream.
+// upstreamConn is a connection to the upstream with its read buffer and idle times.
 type upstreamConn struct {
 	net.Conn
 	reader    *bufio.Reader
-	idleUntil time.Time // By the upstream's word or keptTime.
+	idleUntil time.Time // By the upstream's Keep-Alive header or maxIdleTime.
 	idleSince time.Time
-	unused    bool // Nothing was sent on it yet.
+	unused    bool // Nothing has been sent on it yet.
 }
 
-// connection takes an idle connection that is quiet, or makes one.
+// connection returns a usable idle connection or dials a new one.
 func (c *client) connection(ctx context.Context, once bool) (*upstreamConn, error) {
 	now := time.Now()
 	for {
-		conn := c.take()
+		conn := c.takeIdle()
 		if conn == nil {
 			break
 		}
-		fit := now.Before(conn.idleUntil) && now.Sub(conn.idleSince) < c.mayRest(once)
-		if fit && quiet(conn) {
+		fresh := now.Before(conn.idleUntil) && now.Sub(conn.idleSince) < c.idleLimit(once)
+		if fresh && isUsable(conn) {
 			return conn, nil
 		}
 		_ = conn.Close()
@@ -68,7 +67,7 @@
 	return c.dial(ctx, connectTimeout)
 }
 
-// dial makes a connection.
+// dial opens a new connection.
 func (c *client) dial(ctx context.Context, within time.Duration) (*upstreamConn, error) {
 	d := net.Dialer{Timeout: within}
 	raw, err := d.DialContext(ctx, "tcp4", c.address)
@@ -76,61 +75,61 @@
 		return nil, errors.Wrap(err, "dial")
 	}
 	c.dialed()
-	return &upstreamConn{Conn: raw, reader: bufio.NewReaderSize(raw, bufferBytes), unused: true}, nil
+	return &upstreamConn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), unused: true}, nil
 }
 
-// processEnded tells whether the upstream's process has ended, after a connection to it
-// broke. If it lives, the next request gets the connection that showed so.
+// processEnded reports whether the upstream's process is gone, after a connection to it broke.
+// If the process still listens, the new connection is kept for the next request.
 func (c *client) processEnded(ctx context.Context) bool {
-	conn, err := c.dial(ctx, endCheckTime)
+	conn, err := c.dial(ctx, listenCheckTimeout)
 	if err != nil {
-		return refusedConnection(err)
+		return connectionRefused(err)
 	}
-	conn.idleUntil = time.Now().Add(keptOnceTime) // No longer: nothing shows yet how long it may rest.
-	c.keep(conn)
+	conn.idleUntil = time.Now().Add(maxIdleTimeOnce) // No longer, as its idle limit is not known yet.
+	c.putIdle(conn)
 	return false
 }
 
-// refusedConnection tells whether a connection was refused: nobody listens.
-func refusedConnection(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// connectionRefused reports whether a connection was refused because nothing listens.
+func connectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// rested returns how long the connection was idle before this use; 0 for one that was
-// never used, which says nothing of how long others may rest.
-func (c *upstreamConn) rested() time.Duration {
+// idleFor returns how long the connection was idle before this use. It is 0 for a connection
+// that was never used, since that says nothing about the idle limit.
+func (c *upstreamConn) idleFor() time.Duration {
 	if c.unused {
 		return 0
 	}
 	return time.Since(c.idleSince)
 }
 
-// mayRest returns how long a connection may have been idle to be used again.
-func (c *client) mayRest(once bool) time.Duration {
+// idleLimit returns how long a connection may have been idle to be reused.
+func (c *client) idleLimit(once bool) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	rest := c.rest
-	if rest == 0 {
-		rest = keptTime
+	limit := c.adaptedIdle
+	if limit == 0 {
+		limit = maxIdleTime
 	}
 	if once {
-		return min(rest, keptOnceTime)
+		return min(limit, maxIdleTimeOnce)
 	}
-	return rest
+	return limit
 }
 
-// learn adapts the time that connections may rest to how they fared.
-func (c *client) learn(rested time.Duration, f *failure) {
+// adaptIdle adapts the idle limit after a request on a connection that had been idle.
+func (c *client) adaptIdle(idle time.Duration, f *failure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case f != nil && f.outcome == Broken && rested > 0:
-		c.rest = max(time.Duration(restShare*float64(rested)), restLeast)
-	case f == nil && c.rest > 0:
-		c.rest = min(time.Duration(restGrowth*float64(c.rest)), keptTime)
+	case f != nil && f.outcome == Broken && idle > 0:
+		c.adaptedIdle = max(time.Duration(idleShrink*float64(idle)), minIdleTime)
+	case f == nil && c.adaptedIdle > 0:
+		c.adaptedIdle = min(time.Duration(idleGrowth*float64(c.adaptedIdle)), maxIdleTime)
 	}
 }
 
-// take returns the connection that was used last.
-func (c *client) take() *upstreamConn {
+// takeIdle removes and returns the most recently used idle connection; nil if there is none.
+func (c *client) takeIdle() *upstreamConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := len(c.idle)
@@ -142,21 +141,21 @@
 	return conn
 }
 
-// keep makes a connection idle, in place of the oldest one if there are too many.
-func (c *client) keep(conn *upstreamConn) {
+// putIdle keeps a connection for reuse and closes the oldest one if there are too many.
+func (c *client) putIdle(conn *upstreamConn) {
 	conn.idleSince = time.Now()
-	_ = conn.SetDeadline(time.Time{}) // Fails only on a closed connection, which quiet finds.
+	_ = conn.SetDeadline(time.Time{}) // Fails only on a closed connection, which isUsable detects.
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle) >= maxIdle {
+	if len(c.idle) >= maxIdleConns {
 		_ = c.idle[0].Close()
 		c.idle = c.idle[1:]
 	}
 	c.idle = append(c.idle, conn)
 }
 
-// drop closes idle connections; all of them, or those past their time.
-func (c *client) drop(all bool) {
+// closeIdle closes all idle connections, or only the expired ones.
+func (c *client) closeIdle(all bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -171,16 +170,17 @@
 	c.idle = kept
 }
 
-// idleTime reads how long the upstream keeps an idle connection.
-func idleTime(h http.Header) time.Duration {
+// keepAliveTimeout returns how long to keep an idle connection, by the upstream's Keep-Alive
+// header.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if seconds, err := strconv.Atoi(textproto.TrimString(value)); err == nil && seconds >= 0 {
-			return min(keptTime, time.Duration(keepAliveShare*float64(seconds)*float64(time.Second)))
+			return min(maxIdleTime, time.Duration(keepAliveShare*float64(seconds)*float64(time.Second)))
 		}
 	}
-	return keptTime
+	return maxIdleTime
 }
--- a/gate/doc.go
+++ b/gate/doc.go
@@ -1,13 +1,13 @@
-// Package gate is the only way to the upstream beside a node. It knows the
-// upstream's slots, its incarnation, whether it leaves, and what became of every
-// attempt, and it decides for itself how much work the upstream can be given.
+// Package gate controls all access to the upstream beside a node. It tracks the upstream's
+// slots, its incarnation, whether it is leaving, and the result of every attempt, and it
+// decides on its own how much work the upstream gets.
 //
-// Admission is the pure part: one Update step from typed messages, effects as
-// commands. Gate carries the commands out: it answers offers, talks HTTP to the
-// upstream and keeps ended answers for a while, in case a link broke under them.
+// Admission is the pure part: Update takes typed messages and returns commands. Gate carries
+// the commands out: it answers offers, sends requests to the upstream over HTTP and keeps
+// results of finished attempts for a while, in case a link breaks before they arrive.
 //
-// Whether the upstream does its work is judged by outcomes (health) and, while attempts
-// still run, by their silence: each is compared with how long its kind of request takes.
+// The gate detects a failing upstream by the outcomes of its attempts (health) and by attempts
+// that run far longer than requests of their kind usually take (hangDetector).
 //
 // An offer goes through these states:
 //
@@ -18,5 +18,5 @@
 //
 //	g := gate.New(gate.Upstream{Address: "10.0.0.1:8145", Service: "births"}, platform.Headers{}, log)
 //	g.Report(report)           // A heartbeat of the upstream.
-//	g.Handle(link, frame)      // An offer, a commit, a withdrawal or a question.
+//	g.Handle(link, frame)      // An offer, a commit, a withdrawal or a status query.
 package gate
--- a/gate/execute.go
+++ b/gate/execute.go
@@ -6,7 +6,7 @@
 	"eiderfold/link"
 )
 
-// update moves the admission on and carries its commands out.
+// update passes a message to the admission and carries out the resulting commands.
 func (g *Gate) update(m Message) {
 	g.mu.Lock()
 	var announced *link.Status
@@ -26,7 +26,7 @@
 	}
 }
 
-// cause names the message that changed the mode, for the log.
+// cause returns the log text for the message that changed the mode.
 func cause(m Message) string {
 	switch m := m.(type) {
 	case Ended:
@@ -47,7 +47,7 @@
 	}
 }
 
-// execute carries out one command with the lock held.
+// execute carries out one command. The caller holds the lock.
 func (g *Gate) execute(c Command) {
 	switch c := c.(type) {
 	case Grant:
@@ -57,24 +57,24 @@
 	case Refuse:
 		g.count("gate_refused_" + c.Reason.String())
 		g.answer(c.Key, &link.Frame{Refused: &link.Refused{Key: c.Key, Reason: c.Reason, After: c.After}})
-		delete(g.calls, c.Key)
+		delete(g.active, c.Key)
 	case Start:
 		g.start(c.Key)
 	case Warn:
 		g.count("gate_silent")
 		g.answer(c.Key, &link.Frame{Silent: &link.Silent{Key: c.Key}})
 	case Abort:
-		if call := g.calls[c.Key]; call != nil && call.cancel != nil {
-			call.cancel()
+		if ao := g.active[c.Key]; ao != nil && ao.cancel != nil {
+			ao.cancel()
 		}
 	case Confirm:
 		go g.confirm(c.Upstream)
 	}
 }
 
-// answer sends a message about an offer, with the lock held.
+// answer sends a frame to the ingress that made the offer. The caller holds the lock.
 func (g *Gate) answer(k link.Key, f *link.Frame) {
-	if c := g.calls[k]; c != nil {
-		c.sink.Send(f)
+	if ao := g.active[k]; ao != nil {
+		ao.sink.Send(f)
 	}
 }
--- a/gate/health.go
+++ b/gate/health.go
@@ -7,67 +7,66 @@
 )
 
 const (
-	// trialAt is the suspicion at which the gate goes on trial. One reset or
-	// garbled answer reaches it: in ordinary running they do not occur, and a
-	// trial that clears the upstream lasts two answers.
-	trialAt = 1.0
-	// What each kind of bad outcome adds. An error answer may be the request's
-	// own fault, so it takes two of them without a good one between.
+	// trialThreshold is the suspicion at which a trial begins. One reset or malformed answer
+	// reaches it: in normal operation none occur, and a healthy upstream soon passes a trial.
+	trialThreshold = 1.0
+	// Suspicion added by each kind of bad outcome. An error answer may be caused by the
+	// request, so it takes two of them without a good answer in between to begin a trial.
 	suspicionBroken    = 1.0
 	suspicionErred     = 0.6
-	suspicionShed      = 0.15 // Nothing is lost by it, and a full upstream is not sick.
+	suspicionShed      = 0.15 // The request can be retried safely, and a full upstream is not unhealthy.
 	suspicionUnreached = 1.0
 	suspicionHang      = 0.6
-	// maxSuspicion bounds the sum, so that a long trouble is forgotten in a few answers.
+	// maxSuspicion bounds the sum, so that a few good answers clear it after a long failure.
 	maxSuspicion = 8.0
-	// maxDoublings of trialPause are past trialPauseMost already; it keeps the shift small.
+	// maxDoublings bounds the shift of trialPause; with so many doublings it exceeds
+	// maxTrialPause.
 	maxDoublings = 4
-	// trialRecheck is the least time after which a refused try is of use again.
-	trialRecheck = 20 * time.Millisecond
-	// goodFactor is what a good answer leaves of the suspicion.
-	goodFactor = 0.5
-	// A trial ends after as many good answers in a row as it saw bad outcomes, the
-	// one that began it among them, and at most trialGoods. One stray reset costs
-	// one answer; an upstream that fails most of its work stays out.
-	trialGoods = 3
-	// trialPause is the pause after a bad outcome on trial, doubled up to
-	// trialPauseMost. Each such try costs a repeat elsewhere, and troubles last for
-	// seconds.
-	trialPause     = 200 * time.Millisecond
-	trialPauseMost = 800 * time.Millisecond
-	// relapseTime is how soon after a trial another one counts as its continuation;
-	// some answers' time.
-	relapseTime = 2 * time.Second
-	// trialQuiet ends a trial to which nothing came: a service without retryable
-	// requests must not stay out. The next bad outcome begins it again.
-	trialQuiet = 5 * time.Second
-	// ratioGain is the weight of one outcome in the share of good ones.
-	ratioGain = 0.2
-	// usualGain is the weight of one answer in the mean answer time.
-	usualGain = 0.1
+	// minTrialRetry is the shortest retry-after of an offer refused on trial.
+	minTrialRetry = 20 * time.Millisecond
+	// suspicionDecay is the factor by which a good answer reduces the suspicion.
+	suspicionDecay = 0.5
+	// maxTrialGoods bounds how many good answers in a row end a trial. Below it, a trial needs
+	// as many as it had bad outcomes, including the one that began it: a single reset costs one
+	// answer, and an upstream that fails most of its work stays on trial.
+	maxTrialGoods = 3
+	// trialPause is the pause after a bad outcome on trial, doubled up to maxTrialPause. Each
+	// failed trial attempt costs a repeat elsewhere, and failures last for seconds.
+	trialPause    = 200 * time.Millisecond
+	maxTrialPause = 800 * time.Millisecond
+	// relapseWindow is how soon after a trial another one counts as its continuation: a few
+	// answer times.
+	relapseWindow = 2 * time.Second
+	// trialIdleTimeout ends a trial in which no attempts arrive, so that a service without
+	// retryable requests does not stay on trial. The next bad outcome begins another one.
+	trialIdleTimeout = 5 * time.Second
+	// badRatioGain is the weight of one outcome in badRatio.
+	badRatioGain = 0.2
+	// meanGain is the weight of one answer in meanResponseTime.
+	meanGain = 0.1
 )
 
-// health follows from the outcomes whether the upstream does real work.
+// health derives from outcomes whether the upstream does its work.
 type health struct {
-	switches   switches.Set
-	suspicion  float64
-	trial      bool
-	goods      int
-	bads       int       // Since the trial began.
-	trialFrom  time.Time // When the next try may come.
-	reopened   time.Time // When the last trial ended well.
-	trialHeard time.Time // When the trial began or last saw an outcome.
-	usual      time.Duration
-	trialBegan time.Time
-	badRatio   float64 // Share of bad outcomes, recent ones first.
-	silence
+	switches         switches.Set
+	suspicion        float64
+	trial            bool
+	goodStreak       int
+	badCount         int       // Since the trial began.
+	nextTrialAt      time.Time // The earliest time for the next trial attempt.
+	reopened         time.Time // When the last trial ended with good answers.
+	lastTrialEvent   time.Time // When the trial began or last had an outcome.
+	meanResponseTime time.Duration
+	trialStarted     time.Time
+	badRatio         float64 // Moving average of the share of bad outcomes.
+	hangDetector
 }
 
-// observe takes an outcome. Those it does not list say nothing of the upstream.
-func (h *health) observe(at time.Time, o Outcome, took time.Duration) {
+// recordOutcome updates the health by an outcome. Outcomes not listed are no evidence.
+func (h *health) recordOutcome(at time.Time, o Outcome, took time.Duration) {
 	switch o {
 	case Good:
-		h.learn(took)
+		h.updateMean(took)
 		h.good(at)
 	case Erred:
 		h.bad(at, suspicionErred)
@@ -80,134 +79,134 @@
 	}
 }
 
-// shed takes a refusal of the upstream. On trial it says neither that the upstream
-// does its work nor that it does not: one that sheds half of it would never get out.
+// shed handles a refusal by the upstream. On trial it is no evidence: otherwise an upstream
+// that sheds half of its work would stay on trial.
 func (h *health) shed(at time.Time) {
 	if h.trial {
-		h.trialHeard = at
+		h.lastTrialEvent = at
 		return
 	}
 	h.bad(at, suspicionShed)
 }
 
-// learn moves the mean answer time, of good answers alone: errors are often quick.
-func (h *health) learn(took time.Duration) {
-	if h.usual == 0 {
-		h.usual = took
+// updateMean updates the mean response time, by good answers only: errors are often quick.
+func (h *health) updateMean(took time.Duration) {
+	if h.meanResponseTime == 0 {
+		h.meanResponseTime = took
 		return
 	}
-	h.usual += time.Duration(usualGain * float64(took-h.usual))
+	h.meanResponseTime += time.Duration(meanGain * float64(took-h.meanResponseTime))
 }
 
-// good lowers the suspicion and ends a trial that has seen enough good answers.
+// good reduces the suspicion and ends a trial that has had enough good answers.
 func (h *health) good(at time.Time) {
-	h.suspicion *= goodFactor
-	h.badRatio -= ratioGain * h.badRatio
+	h.suspicion *= suspicionDecay
+	h.badRatio -= badRatioGain * h.badRatio
 	if !h.trial {
 		return
 	}
-	h.trialHeard = at
-	h.goods++
-	if h.goods < min(h.bads, trialGoods) {
+	h.lastTrialEvent = at
+	h.goodStreak++
+	if h.goodStreak < min(h.badCount, maxTrialGoods) {
 		return
 	}
 	h.trial = false
-	h.forget(true)
+	h.reset(true)
 	h.suspicion = 0
 	h.reopened = at
 }
 
-// relapse is how many bad outcomes a trial begins with: the one that began it, and
-// those of the trial before if the upstream soon failed again. One that fails half
-// of its work would otherwise be open half of the time.
-func (h *health) relapse(at time.Time) int {
-	if h.reopened.IsZero() || at.Sub(h.reopened) > relapseTime {
+// initialBadCount returns the number of bad outcomes that a trial starts with: the one that
+// began it and, within relapseWindow of the previous trial, those of that trial. Otherwise an
+// upstream that fails half of its work would be open half of the time.
+func (h *health) initialBadCount(at time.Time) int {
+	if h.reopened.IsZero() || at.Sub(h.reopened) > relapseWindow {
 		return 1
 	}
-	return h.bads + 1
+	return h.badCount + 1
 }
 
-// bad raises the suspicion by a weight, and begins a trial or puts its next try off.
+// bad raises the suspicion by a weight. It begins a trial, or delays the next attempt of one.
 func (h *health) bad(at time.Time, weight float64) {
 	h.suspicion = min(h.suspicion+weight, maxSuspicion)
-	h.badRatio += ratioGain * (1 - h.badRatio)
-	h.goods = 0
+	h.badRatio += badRatioGain * (1 - h.badRatio)
+	h.goodStreak = 0
 	if h.trial {
-		h.trialHeard = at
-		h.trialFrom = at.Add(min(trialPause<<min(h.bads-1, maxDoublings), trialPauseMost))
-		h.bads++
+		h.lastTrialEvent = at
+		h.nextTrialAt = at.Add(min(trialPause<<min(h.badCount-1, maxDoublings), maxTrialPause))
+		h.badCount++
 		return
 	}
-	if h.suspicion < trialAt || !h.switches.On(switches.Trials) {
+	if h.suspicion < trialThreshold || !h.switches.On(switches.Trials) {
 		return
 	}
 	h.trial = true
-	h.trialBegan = at
-	h.forget(false)
-	h.bads = h.relapse(at)
-	h.trialHeard = at
-	h.trialFrom = at
+	h.trialStarted = at
+	h.reset(false)
+	h.badCount = h.initialBadCount(at)
+	h.lastTrialEvent = at
+	h.nextTrialAt = at
 }
 
-// forced is how many attempts at a time are right for an upstream on trial when
-// too few others are open: as many of its slots as it answers well. It may be none:
-// an upstream that fails nearly all of its work is no capacity.
-func (h *health) forced(slots int) int { return int(float64(slots) * (1 - h.badRatio)) }
+// maxForced returns how many forced attempts an upstream on trial may run at a time when too
+// few other gates are open: the share of its slots that matches its good outcomes. It is 0 for
+// an upstream that fails nearly all of its work.
+func (h *health) maxForced(slots int) int { return int(float64(slots) * (1 - h.badRatio)) }
 
-// tries is how many attempts may run at a time on trial: one, and one more for each
-// good answer in a row. An upstream that has come back is soon whole again, and one
-// that fails on is never given more than one.
-func (h *health) tries() int { return 1 + h.goods }
+// maxTrialAttempts returns how many attempts may run at a time on trial: one, plus one for each
+// good answer in a row. A recovered upstream soon gets all of its slots back, and one that
+// keeps failing gets a single attempt at a time.
+func (h *health) maxTrialAttempts() int { return 1 + h.goodStreak }
 
-// nextTrial is how long it is until an upstream on trial may be tried again.
-func (h *health) nextTrial(at time.Time, busy bool) time.Duration {
-	wait := h.trialFrom.Sub(at)
+// trialRetryAfter returns how long until an upstream on trial may get another attempt.
+func (h *health) trialRetryAfter(at time.Time, busy bool) time.Duration {
+	wait := h.nextTrialAt.Sub(at)
 	if busy {
-		wait = max(wait, h.usual)
+		wait = max(wait, h.meanResponseTime)
 	}
-	return max(wait, trialRecheck)
+	return max(wait, minTrialRetry)
 }
 
-// tick ends a trial to which nobody sends anything.
+// tick ends a trial in which no attempts arrive.
 func (h *health) tick(at time.Time) {
-	if !h.trial || at.Sub(h.trialHeard) < trialQuiet {
+	if !h.trial || at.Sub(h.lastTrialEvent) < trialIdleTimeout {
 		return
 	}
 	h.trial = false
-	h.forget(false)
-	h.suspicion = trialAt - suspicionShed
+	h.reset(false)
+	h.suspicion = trialThreshold - suspicionShed
 }
 
-// conclude takes what an attempt that has ended says of whether the upstream answers.
-func (a *Admission) conclude(m Ended, e *entry) {
+// closeSample records in the hang detector how an attempt ended.
+func (a *Admission) closeSample(m Ended, e *entry) {
 	if e.sample == nil {
 		return
 	}
 	switch m.Outcome {
 	case Good, Erred:
-		a.answered(e.sample, m.Took)
+		a.recordAnswer(e.sample, m.Took)
 	case CallFailed, Shed:
-		a.alive(e.sample) // How long it took says nothing of its kind.
+		a.markAnswered(e.sample) // Its duration is not typical of its kind.
 	default:
-		a.unanswered(m.At, e.sample)
+		a.markUnanswered(m.At, e.sample)
 	}
 }
 
-// failsTry tells whether a running attempt is a try on trial that has been silent for
-// too long. What started before the trial has been counted when it began.
-func (a *Admission) failsTry(at time.Time, e *entry) bool {
-	if !a.trial || e.hung || e.upstream != a.upstream || e.started.Before(a.trialBegan) {
+// trialAttemptHangs reports whether a running attempt of this trial has been unresponsive for
+// too long. Attempts from before the trial were counted when it began.
+func (a *Admission) trialAttemptHangs(at time.Time, e *entry) bool {
+	if !a.trial || e.hung || e.upstream != a.upstream || e.started.Before(a.trialStarted) {
 		return false
 	}
-	return a.weigh(at, e.sample) >= silenceOfTry
+	return a.sampleEvidence(at, e.sample) >= trialAttemptEvidence
 }
 
-// fallSilent begins a trial because attempts are not answered.
-func (h *health) fallSilent(at time.Time) {
+// beginHangTrial begins a trial because attempts are not answered.
+func (h *health) beginHangTrial(at time.Time) {
 	for _, b := range h.samples {
-		if h.weigh(at, b) > 0 {
-			h.badRatio += ratioGain * (1 - h.badRatio)
+		if h.sampleEvidence(at, b) > 0 {
+			h.badRatio += badRatioGain * (1 - h.badRatio)
 		}
 	}
-	h.bad(at, trialAt)
+	h.bad(at, trialThreshold)
 }
--- a/gate/incarnation.go
+++ b/gate/incarnation.go
@@ -6,80 +6,80 @@
 	"eiderfold/port"
 )
 
-// pastKept is how many earlier incarnations are remembered, so that a late
-// report of one does not bring it back.
-const pastKept = 64
+// maxIncarnations bounds each list of earlier incarnations. They are kept so that a delayed
+// report of one does not make it current again.
+const maxIncarnations = 64
 
-// retire forgets the incarnation, because another one holds its address.
+// retire removes the current incarnation because another one has taken its address.
 func (a *Admission) retire() {
 	if a.upstream.ID == "" {
 		return
 	}
-	a.past = remember(a.past, a.upstream)
+	a.replaced = addIncarnation(a.replaced, a.upstream)
 	a.upstream = port.Incarnation{}
-	a.health = health{switches: a.switches, usual: a.usual, silence: silence{kinds: a.kinds}}
+	a.health = health{switches: a.switches, meanResponseTime: a.meanResponseTime, hangDetector: hangDetector{kinds: a.kinds}}
 }
 
-// remember adds an incarnation, in place of the oldest one if there are too many.
-func remember(list []port.Incarnation, i port.Incarnation) []port.Incarnation {
+// addIncarnation adds an incarnation and evicts the oldest one when the list is full.
+func addIncarnation(list []port.Incarnation, i port.Incarnation) []port.Incarnation {
 	if slices.Contains(list, i) {
 		return list
 	}
-	if len(list) >= pastKept {
+	if len(list) >= maxIncarnations {
 		list = list[1:]
 	}
 	return append(list, i)
 }
 
-// understood returns a report as it is meant: one that does not say when its sender
-// started speaks of the incarnation of that id which is there.
-func (a *Admission) understood(r port.Report) port.Report {
+// normalize fills in a missing start time: a report without one is attributed to the current
+// incarnation if the id matches.
+func (a *Admission) normalize(r port.Report) port.Report {
 	if r.Born == 0 && r.ID == a.upstream.ID {
 		r.Born = a.upstream.Born
 	}
 	return r
 }
 
-// reported takes the upstream's word. An incarnation that is new is confirmed
-// before it gets work: an earlier process may have acknowledged that it leaves.
+// reported processes a report of an upstream. A new incarnation gets work only after it is
+// confirmed: an earlier process of the node may have acknowledged that it is leaving.
 func (a *Admission) reported(m Reported) []Command {
-	r := a.understood(m.Report)
+	r := a.normalize(m.Report)
 	if r.Leaving {
-		a.left = remember(a.left, r.Incarnation)
+		a.leaving = addIncarnation(a.leaving, r.Incarnation)
 		if r.ID == a.upstream.ID && a.upstream.Before(r.Incarnation) {
-			// The one that was there is gone, and what was meant for it would reach this
-			// one, which leaves, under the same id.
+			// The previous incarnation is gone. Make the leaving one current, since work for
+			// the previous one would reach it under the same id.
 			a.retire()
 			a.upstream = r.Incarnation
 		}
 		return nil
 	}
-	if slices.Contains(a.past, r.Incarnation) || slices.Contains(a.left, r.Incarnation) || r.Service != a.service {
+	if slices.Contains(a.replaced, r.Incarnation) || slices.Contains(a.leaving, r.Incarnation) || r.Service != a.service {
 		return nil
 	}
 	if r.Incarnation == a.upstream {
 		if r.Sequence > a.sequence {
 			a.sequence = r.Sequence
 			a.slots = r.Slots
-			a.cold.reported(m.At, r.ColdLeft)
+			a.cold.setRemaining(m.At, r.ColdLeft)
 		}
 		return nil
 	}
 	if r.Before(a.upstream) {
-		return nil // It was held up, and its sender has been replaced.
+		return nil // A delayed report of an incarnation that was replaced.
 	}
 	a.retire()
 	a.upstream = r.Incarnation
 	a.sequence = r.Sequence
 	a.slots = r.Slots
-	a.cold.reported(m.At, r.ColdLeft)
+	a.cold.setRemaining(m.At, r.ColdLeft)
 	a.unconfirmed = true
 	return []Command{Confirm{Upstream: r.Incarnation}}
 }
 
 func (a *Admission) confirmed(m Confirmed) {
 	if m.Leaving {
-		a.left = remember(a.left, m.Upstream)
+		a.leaving = addIncarnation(a.leaving, m.Upstream)
 	}
 	if m.Upstream == a.upstream {
 		a.unconfirmed = false
--- a/gate/message.go
+++ b/gate/message.go
@@ -8,17 +8,17 @@
 	"eiderfold/port"
 )
 
-// Message is anything Admission is told, with the time at which it was.
+// Message is an input of Admission.Update, with the time at which it occurred.
 type Message interface{ at() time.Time }
 
-// Offered is an offer that came in.
+// Offered reports an offer of an ingress.
 type Offered struct {
 	At        time.Time
 	Key       link.Key
 	Service   string
 	Upstream  string
 	Deadline  time.Time
-	Aim       time.Time // When the answer loses most of its worth; at most the deadline.
+	Aim       time.Time // Target deadline; at most Deadline.
 	Priority  int
 	Retryable bool
 	Force     bool
@@ -27,36 +27,36 @@
 	Claim     budget.Claim
 }
 
-// Committed is the go-ahead for a granted offer.
+// Committed reports the commit of a granted offer.
 type Committed struct {
 	At  time.Time
 	Key link.Key
 }
 
-// Withdrawn says that the one who offered gave up.
+// Withdrawn reports that the ingress withdrew its offer, or that the link to it broke.
 type Withdrawn struct {
 	At  time.Time
 	Key link.Key
 }
 
-// Outcome is how a started attempt ended.
+// Outcome classifies how a started attempt ended.
 type Outcome uint8
 
-// Outcomes, by what they say of the upstream.
+// Outcomes, by what they show about the upstream.
 const (
-	Good       Outcome = iota // A whole answer that is no error of the upstream.
-	Erred                     // A whole answer that is an error of the upstream.
-	Broken                    // A reset, a cut or a garbled answer.
-	Unreached                 // No connection came about.
-	Shed                      // Refused without running.
-	Replaced                  // Another incarnation holds the address.
-	NoEvidence                // Broken off from our side.
-	CallFailed                // An error that follows from a failed call of the upstream's own.
+	Good       Outcome = iota // A complete answer that is no server error.
+	Erred                     // A complete answer that is a server error.
+	Broken                    // A reset, a closed connection or a malformed answer.
+	Unreached                 // No connection could be established.
+	Shed                      // Refused by the upstream without running.
+	Replaced                  // Another incarnation has the address.
+	NoEvidence                // Canceled by the gate or past the deadline.
+	CallFailed                // A server error that follows from a failed nested request.
 )
 
 var outcomeNames = [...]string{"good", "erred", "broken", "unreached", "shed", "replaced", "no-evidence", "call-failed"}
 
-// String returns the outcome's name.
+// String returns the outcome's name, as used in logs.
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
@@ -64,7 +64,7 @@
 	return "unknown"
 }
 
-// Ended says that an attempt is over.
+// Ended reports that an attempt has ended.
 type Ended struct {
 	At      time.Time
 	Key     link.Key
@@ -72,58 +72,58 @@
 	Took    time.Duration
 }
 
-// Reported is an upstream's word about itself.
+// Reported carries a report of the upstream.
 type Reported struct {
 	At     time.Time
 	Report port.Report
 }
 
-// Confirmed says whether an incarnation has been acknowledged as leaving earlier.
+// Confirmed reports whether an incarnation was acknowledged as leaving earlier.
 type Confirmed struct {
 	At       time.Time
 	Upstream port.Incarnation
 	Leaving  bool
 }
 
-// Evacuated says whether the upstream's data centre is to be evacuated: no new work.
+// Evacuated reports whether the upstream's data centre is evacuated and gets no new work.
 type Evacuated struct {
 	At time.Time
 	On bool
 }
 
-// Bounded says what the upstream bears while it is cold.
-type Bounded struct {
+// ColdBoundChanged sets the load limit of a cold upstream.
+type ColdBoundChanged struct {
 	At   time.Time
 	Cold ColdBound
 }
 
-// Stopping says that the node is about to end.
+// Stopping reports that the node is about to stop.
 type Stopping struct{ At time.Time }
 
-// Ticked says that time has passed.
+// Ticked reports that time has passed.
 type Ticked struct{ At time.Time }
 
-func (m Offered) at() time.Time   { return m.At }
-func (m Committed) at() time.Time { return m.At }
-func (m Withdrawn) at() time.Time { return m.At }
-func (m Ended) at() time.Time     { return m.At }
-func (m Reported) at() time.Time  { return m.At }
-func (m Confirmed) at() time.Time { return m.At }
-func (m Evacuated) at() time.Time { return m.At }
-func (m Bounded) at() time.Time   { return m.At }
-func (m Stopping) at() time.Time  { return m.At }
-func (m Ticked) at() time.Time    { return m.At }
-
-// Command is anything Admission wants done.
+func (m Offered) at() time.Time          { return m.At }
+func (m Committed) at() time.Time        { return m.At }
+func (m Withdrawn) at() time.Time        { return m.At }
+func (m Ended) at() time.Time            { return m.At }
+func (m Reported) at() time.Time         { return m.At }
+func (m Confirmed) at() time.Time        { return m.At }
+func (m Evacuated) at() time.Time        { return m.At }
+func (m ColdBoundChanged) at() time.Time { return m.At }
+func (m Stopping) at() time.Time         { return m.At }
+func (m Ticked) at() time.Time           { return m.At }
+
+// Command is an effect that Admission requests.
 type Command interface{ command() }
 
-// Grant holds a slot for an offer until it is committed.
+// Grant reserves a slot for an offer until it is committed.
 type Grant struct{ Key link.Key }
 
 // Start runs an offer now.
 type Start struct{ Key link.Key }
 
-// Queue tells that an offer waits.
+// Queue reports that an offer waits in the queue.
 type Queue struct{ Key link.Key }
 
 // Refuse ends an offer that has not run.
@@ -133,17 +133,17 @@
 	After  time.Duration
 }
 
-// Warn tells that a running attempt that may be repeated is not answered.
+// Warn reports that a running retryable attempt is not answered.
 type Warn struct{ Key link.Key }
 
-// Abort breaks a running attempt off.
+// Abort cancels a running attempt.
 type Abort struct{ Key link.Key }
 
-// Announce tells all links of the gate's new state.
+// Announce sends the gate's new status over all links.
 type Announce struct{ Why string }
 
-// Confirm asks whether an incarnation was acknowledged as leaving before this
-// process began.
+// Confirm looks up whether an incarnation was acknowledged as leaving before this process
+// started.
 type Confirm struct{ Upstream port.Incarnation }
 
 func (Grant) command()    {}
--- a/gate/model_test.go
+++ b/gate/model_test.go
@@ -26,34 +26,34 @@
 	"eiderfold/route"
 )
 
-// modelSchedules is how many random schedules a test run plays; by hand,
-// EIDERFOLD_SCHEDULES asks for more.
+// modelSchedules is how many random schedules a test run plays. The environment variable
+// EIDERFOLD_SCHEDULES overrides it.
 const modelSchedules = 1500
 
-// plant is a fault put into the model on purpose, to see that it is found.
-type plant uint8
+// fault is a fault injected into the model, to check that the model detects it.
+type fault uint8
 
 const (
-	plantNone plant = iota
-	// plantFailedIsRefused lets an unknown outcome arrive as "not run".
-	plantFailedIsRefused
-	// plantAskIsNeverSeen lets every question be answered with "not run".
-	plantAskIsNeverSeen
-	// plantSameProcess lets a restarted gate pass for the one before.
-	plantSameProcess
+	faultNone fault = iota
+	// faultFailedAsRefused delivers an unknown outcome as "not run".
+	faultFailedAsRefused
+	// faultAskAsNeverSeen answers every Ask with "not run".
+	faultAskAsNeverSeen
+	// faultSameProcess gives a restarted gate the process id of the previous one.
+	faultSameProcess
 )
 
-// model is one schedule: an ingress, some gates with their upstreams, and links
-// that delay, break and come back, in simulated time.
+// model is one schedule: an ingress, some gates with their upstreams, and links that delay
+// frames, break and reconnect, in simulated time.
 type model struct {
-	random    *rand.Rand
-	plant     plant
-	forwarder *ingress.Forwarder
-	gates     []*modelGate
-	mu        sync.Mutex
-	runs      map[string]int
-	denied    map[string]bool
-	broken    []string
+	random     *rand.Rand
+	fault      fault
+	forwarder  *ingress.Forwarder
+	gates      []*modelGate
+	mu         sync.Mutex
+	runs       map[string]int
+	refused    map[string]bool
+	violations []string
 }
 
 // modelGate is a gate's process, its upstream, and the link to it.
@@ -68,25 +68,25 @@
 	link    *modelLink
 }
 
-// modelLink carries frames in order, each direction with delays of its own.
+// modelLink delivers frames in order, with separate random delays in each direction.
 type modelLink struct {
-	gate   *modelGate
-	to     chan *link.Frame
-	back   chan *link.Frame
-	closed chan struct{}
-	once   sync.Once
+	gate      *modelGate
+	toGate    chan *link.Frame
+	toIngress chan *link.Frame
+	closed    chan struct{}
+	once      sync.Once
 }
 
-func (l *modelLink) Send(f *link.Frame) bool { return push(l.to, f, l.closed) }
+func (l *modelLink) Send(f *link.Frame) bool { return push(l.toGate, f, l.closed) }
 
-// Ponged returns the present: a process that is there replies to pings, and one that is
-// not has no link.
+// Ponged returns the current time: a running process replies to pings at once, and a stopped
+// one has no link.
 func (l *modelLink) Ponged() time.Time { return time.Now() }
 
-// returning is the gate's side of a link.
-type returning struct{ *modelLink }
+// gateSide is the gate's end of a link.
+type gateSide struct{ *modelLink }
 
-func (r returning) Send(f *link.Frame) bool { return push(r.back, f, r.closed) }
+func (r gateSide) Send(f *link.Frame) bool { return push(r.toIngress, f, r.closed) }
 
 func push(to chan *link.Frame, f *link.Frame, closed chan struct{}) bool {
 	select {
@@ -104,7 +104,7 @@
 
 func (l *modelLink) close() { l.once.Do(func() { close(l.closed) }) }
 
-// modelUpstream stands in for the upstream's connection.
+// modelUpstream simulates the connection to the upstream.
 type modelUpstream struct{ model *model }
 
 func (u modelUpstream) do(ctx context.Context, r *link.Content, _ port.OutgoingTerms, _ bool) (*answer, *failure) {
@@ -116,7 +116,7 @@
 	case 1:
 		return nil, &failure{outcome: Shed, reason: link.ReasonShed}
 	}
-	m.ran(attempt)
+	m.noteRun(attempt)
 	select {
 	case <-time.After(time.Duration(m.draw(400)) * time.Millisecond):
 	case <-ctx.Done():
@@ -133,7 +133,7 @@
 func (modelUpstream) checkHealth(context.Context, string) (string, error) {
 	return "", errors.New("none")
 }
-func (modelUpstream) drop(bool) {}
+func (modelUpstream) closeIdle(bool) {}
 
 func (m *model) draw(n int) int {
 	m.mu.Lock()
@@ -141,28 +141,28 @@
 	return m.random.IntN(n)
 }
 
-func (m *model) ran(attempt string) {
+func (m *model) noteRun(attempt string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.runs[attempt]++
 	if m.runs[attempt] > 1 {
-		m.broken = append(m.broken, "ran twice: "+attempt)
+		m.violations = append(m.violations, "ran twice: "+attempt)
 	}
-	if m.denied[attempt] {
-		m.broken = append(m.broken, "ran after it was refused: "+attempt)
+	if m.refused[attempt] {
+		m.violations = append(m.violations, "ran after it was refused: "+attempt)
 	}
 }
 
-func (m *model) told(attempt string, r *ingress.Response) {
+func (m *model) checkResponse(attempt string, r *ingress.Response) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case r.Status == http.StatusOK && m.runs[attempt] == 0:
-		m.broken = append(m.broken, "answered without a run: "+attempt)
+		m.violations = append(m.violations, "answered without a run: "+attempt)
 	case r.Status == http.StatusServiceUnavailable:
-		m.denied[attempt] = true
+		m.refused[attempt] = true
 		if m.runs[attempt] > 0 {
-			m.broken = append(m.broken, "refused after it ran: "+attempt)
+			m.violations = append(m.violations, "refused after it ran: "+attempt)
 		}
 	}
 }
@@ -172,10 +172,10 @@
 func (noCounts) Count(string)                  {}
 func (noCounts) Observe(string, time.Duration) {}
 
-// newModel starts gates and links inside of a bubble of simulated time.
-func newModel(t *testing.T, seed uint64, p plant) *model {
+// newModel starts gates and links. It must run inside a synctest bubble.
+func newModel(t *testing.T, seed uint64, p fault) *model {
 	t.Helper()
-	m := &model{random: rand.New(rand.NewPCG(seed, 3)), plant: p, runs: map[string]int{}, denied: map[string]bool{}}
+	m := &model{random: rand.New(rand.NewPCG(seed, 3)), fault: p, runs: map[string]int{}, refused: map[string]bool{}}
 	targets := ingress.NewTargets("here", 0.7)
 	m.forwarder = ingress.NewForwarder("caller", targets, platform.Headers{}, zap.NewNop(), noCounts{})
 	table, err := route.New(route.Document{Version: 1, Services: []route.Service{{Name: scriptService}}, Routes: []route.Route{{
@@ -194,9 +194,9 @@
 	return m
 }
 
-// start begins a process that remembers nothing.
+// start starts a gate process without any state.
 func (g *modelGate) start() {
-	if g.model.plant != plantSameProcess || g.process == 0 {
+	if g.model.fault != faultSameProcess || g.process == 0 {
 		g.process++
 	}
 	g.gate = New(Upstream{Service: scriptService}, platform.Headers{}, zap.NewNop(), WithBudget(budget.New(1, 400, time.Time{})))
@@ -212,20 +212,20 @@
 	synctest.Wait()
 }
 
-// connect makes a link, as the dialing side does.
+// connect opens a link, as the dialing node does.
 func (g *modelGate) connect() {
-	l := &modelLink{gate: g, to: make(chan *link.Frame, 256), back: make(chan *link.Frame, 256), closed: make(chan struct{})}
+	l := &modelLink{gate: g, toGate: make(chan *link.Frame, 256), toIngress: make(chan *link.Frame, 256), closed: make(chan struct{})}
 	g.link = l
 	g.target.SetStatus(g.gate.Status(), time.Now())
 	gate := g.gate
-	go l.carry(l.to, func(f *link.Frame) { g.toGate(gate, l, f) }, func() { gate.Lost(returning{l}) })
-	go l.carry(l.back, g.toIngress, func() {})
+	go l.deliverAll(l.toGate, func(f *link.Frame) { g.toGate(gate, l, f) }, func() { gate.Lost(gateSide{l}) })
+	go l.deliverAll(l.toIngress, g.toIngress, func() {})
 	g.model.forwarder.Connected(g.target, l, g.process)
 }
 
-// carry delivers one direction until the link is closed. What is on its way then
-// is delivered in part: a cut is seen at different times at its two ends.
-func (l *modelLink) carry(frames chan *link.Frame, deliver func(*link.Frame), end func()) {
+// deliverAll delivers the frames of one direction until the link is closed, and then some of
+// those in transit: the two ends notice a broken link at different times.
+func (l *modelLink) deliverAll(frames chan *link.Frame, deliver func(*link.Frame), end func()) {
 	defer end()
 	for {
 		select {
@@ -247,21 +247,21 @@
 }
 
 func (g *modelGate) toGate(gate *Gate, l *modelLink, f *link.Frame) {
-	if f.Ask != nil && g.model.plant == plantAskIsNeverSeen {
-		returning{l}.Send(&link.Frame{Refused: &link.Refused{Key: f.Ask.Key, Reason: link.ReasonNeverSeen}})
+	if f.Ask != nil && g.model.fault == faultAskAsNeverSeen {
+		gateSide{l}.Send(&link.Frame{Refused: &link.Refused{Key: f.Ask.Key, Reason: link.ReasonNeverSeen}})
 		return
 	}
-	gate.Handle(returning{l}, f)
+	gate.Handle(gateSide{l}, f)
 }
 
 func (g *modelGate) toIngress(f *link.Frame) {
-	if f.Failed != nil && g.model.plant == plantFailedIsRefused {
+	if f.Failed != nil && g.model.fault == faultFailedAsRefused {
 		f = &link.Frame{Refused: &link.Refused{Key: f.Failed.Key, Reason: link.ReasonNeverSeen}}
 	}
 	g.model.forwarder.Deliver(f)
 }
 
-// disturb breaks the link, or restarts the gate's process.
+// disturb breaks the link and, at random, restarts the gate's process.
 func (g *modelGate) disturb() {
 	l := g.link
 	l.close()
@@ -275,8 +275,8 @@
 	g.connect()
 }
 
-// play runs one schedule and returns what it broke.
-func play(t *testing.T, seed uint64, p plant) (broken []string) {
+// play runs one schedule and returns the violations.
+func play(t *testing.T, seed uint64, p fault) (violations []string) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newModel(t, seed, p)
 		var callers sync.WaitGroup
@@ -286,7 +286,7 @@
 				attempt := "a" + strconv.Itoa(i)
 				r := m.forwarder.Serve(context.Background(), &ingress.Request{Method: http.MethodPost, RequestURI: "/x", URL: &url.URL{Path: "/x"},
 					Host: "office.example", Header: http.Header{"Attempt-Id": {attempt}, "Deadline-Ms": {"3000"}}, Arrived: time.Now()})
-				m.told(attempt, r)
+				m.checkResponse(attempt, r)
 			})
 		}
 		for range m.draw(4) {
@@ -294,16 +294,16 @@
 			m.gates[m.draw(len(m.gates))].disturb()
 		}
 		callers.Wait()
-		time.Sleep(10 * time.Second) // Whatever is late would run now.
+		time.Sleep(10 * time.Second) // A delayed request would run now.
 		for _, g := range m.gates {
 			g.link.close()
 			g.cancel()
 		}
 		m.mu.Lock()
-		broken = m.broken
+		violations = m.violations
 		m.mu.Unlock()
 	})
-	return broken
+	return violations
 }
 
 func schedules(t *testing.T) uint64 {
@@ -317,24 +317,25 @@
 	return n
 }
 
-// TestModelRunsAtMostOnce plays random schedules of orders, broken links, delayed
-// messages and restarted gates: nothing runs twice, and what was refused never runs.
+// TestModelRunsAtMostOnce plays random schedules of non-retryable requests, broken links,
+// delayed frames and restarted gates: nothing may run twice, and nothing may run after it was
+// refused.
 func TestModelRunsAtMostOnce(t *testing.T) {
 	for seed := range schedules(t) {
-		require.Empty(t, play(t, seed, plantNone), "seed %d", seed)
+		require.Empty(t, play(t, seed, faultNone), "seed %d", seed)
 	}
 }
 
-// TestModelFindsPlantedFaults shows that the model can fail.
-func TestModelFindsPlantedFaults(t *testing.T) {
-	for _, p := range []plant{plantFailedIsRefused, plantAskIsNeverSeen, plantSameProcess} {
+// TestModelFindsInjectedFaults checks that the model detects faults.
+func TestModelFindsInjectedFaults(t *testing.T) {
+	for _, p := range []fault{faultFailedAsRefused, faultAskAsNeverSeen, faultSameProcess} {
 		found := 0
 		for seed := range uint64(modelSchedules) {
 			if len(play(t, seed, p)) > 0 {
 				found++
 			}
 		}
-		assert.Positive(t, found, "planted fault %d", p)
-		t.Logf("planted fault %d: found by %d of %d schedules", p, found, modelSchedules)
+		assert.Positive(t, found, "injected fault %d", p)
+		t.Logf("injected fault %d: found by %d of %d schedules", p, found, modelSchedules)
 	}
 }
--- a/gate/offer.go
+++ b/gate/offer.go
@@ -8,7 +8,7 @@
 	"eiderfold/switches"
 )
 
-// Handle takes a message of an ingress.
+// Handle processes a frame from an ingress.
 func (g *Gate) Handle(from Sink, f *link.Frame) {
 	now := time.Now()
 	switch {
@@ -23,21 +23,21 @@
 	}
 }
 
-// offer takes an offer in hand and lets the admission decide.
+// offer registers an offer and passes it to the admission.
 func (g *Gate) offer(now time.Time, from Sink, o *link.Offer) {
 	g.mu.Lock()
-	if g.calls[o.Key] != nil {
+	if g.active[o.Key] != nil {
 		g.mu.Unlock()
-		return // A repeated message; the first one stands.
+		return // A duplicate; the first offer stays valid.
 	}
 	if o.Record != nil {
-		g.book.Heard(now, *o.Record)
+		g.tracker.Heard(now, *o.Record)
 	}
-	c := &call{offer: o, sink: from, deadline: now.Add(o.Left), repeat: o.Claim != budget.First}
-	c.aim = g.admission.AimOf(now, c.deadline, o.Aim)
-	g.calls[o.Key] = c
+	ao := &activeOffer{offer: o, sink: from, deadline: now.Add(o.Left), repeat: o.Claim != budget.First}
+	ao.target = g.admission.AimOf(now, ao.deadline, o.Aim)
+	g.active[o.Key] = ao
 	g.mu.Unlock()
-	if o.Content != nil && g.holdBack(now, c) {
+	if o.Content != nil && g.refuseQuarantined(now, ao) {
 		return
 	}
 	g.update(Offered{
@@ -45,9 +45,9 @@
 		Key:       o.Key,
 		Service:   o.Service,
 		Upstream:  o.Upstream,
-		Deadline:  c.deadline,
-		Aim:       c.aim,
-		Priority:  g.priority(o.Priority),
+		Deadline:  ao.deadline,
+		Aim:       ao.target,
+		Priority:  g.effectivePriority(o.Priority),
 		Retryable: o.Retryable,
 		Force:     o.Force,
 		Ready:     o.Content != nil,
@@ -56,72 +56,73 @@
 	})
 }
 
-// AimOf returns when an answer loses most of its worth, or lost it; without a word about
-// it, at the deadline.
+// AimOf returns the target deadline of an offer by the time left until it, which is negative if
+// it has passed and 0 if there is none. Without one, it returns the deadline.
 func (a *Admission) AimOf(now, deadline time.Time, left time.Duration) time.Time {
-	forgotten := left < 0 && !a.switches.On(switches.LateLast)
-	if left == 0 || forgotten || now.Add(left).After(deadline) {
+	ignored := left < 0 && !a.switches.On(switches.LateLast)
+	if left == 0 || ignored || now.Add(left).After(deadline) {
 		return deadline
 	}
 	return now.Add(left)
 }
 
-// priority is that of an offer, or the same for all where priorities are off.
-func (g *Gate) priority(p int) int {
+// effectivePriority returns the priority of an offer, or 0 for all if priorities are switched
+// off.
+func (g *Gate) effectivePriority(p int) int {
 	if g.switches.On(switches.Priority) {
 		return p
 	}
 	return 0
 }
 
-// commit gives a granted offer its content and its go-ahead.
+// commit adds the content to a granted offer and starts it.
 func (g *Gate) commit(now time.Time, from Sink, m *link.Commit) {
 	g.mu.Lock()
-	c := g.calls[m.Key]
-	if c != nil {
-		c.offer.Content = m.Content
-		c.deadline = now.Add(m.Left)
-		c.repeat = m.Repeat
+	ao := g.active[m.Key]
+	if ao != nil {
+		ao.offer.Content = m.Content
+		ao.deadline = now.Add(m.Left)
+		ao.repeat = m.Repeat
 	}
 	g.mu.Unlock()
-	if c == nil {
+	if ao == nil {
 		from.Send(&link.Frame{Refused: &link.Refused{Key: m.Key, Reason: link.ReasonNeverSeen}})
 		return
 	}
-	if !g.holdBack(now, c) {
+	if !g.refuseQuarantined(now, ao) {
 		g.update(Committed{At: now, Key: m.Key})
 	}
 }
 
-// holdBack refuses a request under which upstreams end, and tells whether it did. Here it
-// is looked up last before it starts, as its ingress may not know of it yet.
-func (g *Gate) holdBack(now time.Time, c *call) bool {
-	left := g.book.Held(now, c.print)
+// refuseQuarantined refuses a quarantined request and reports whether it did. The gate checks
+// just before the start, as the ingress may not have the record yet.
+func (g *Gate) refuseQuarantined(now time.Time, ao *activeOffer) bool {
+	left := g.tracker.Held(now, ao.fingerprint)
 	if left == 0 {
 		return false
 	}
 	g.count("gate_refused_" + link.ReasonQuarantined.String())
-	c.sink.Send(&link.Frame{Refused: &link.Refused{Key: c.offer.Key, Reason: link.ReasonQuarantined, After: left}})
-	g.withdraw(now, c.offer.Key)
+	ao.sink.Send(&link.Frame{Refused: &link.Refused{Key: ao.offer.Key, Reason: link.ReasonQuarantined, After: left}})
+	g.withdraw(now, ao.offer.Key)
 	return true
 }
 
-// withdraw forgets an offer that does not run; what runs is kept until it ends.
+// withdraw drops an offer that does not run. A running one is kept until it ends.
 func (g *Gate) withdraw(now time.Time, k link.Key) {
 	g.update(Withdrawn{At: now, Key: k})
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if c := g.calls[k]; c != nil && c.cancel == nil {
-		delete(g.calls, k)
+	if ao := g.active[k]; ao != nil && ao.cancel == nil {
+		delete(g.active, k)
 	}
 }
 
-// ask tells what became of a committed offer whose link broke.
+// ask answers the ingress about a committed offer whose link broke.
 func (g *Gate) ask(from Sink, k link.Key) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if c := g.calls[k]; c != nil && c.cancel != nil {
-		c.sink = from
+	if ao := g.active[k]; ao != nil && ao.cancel != nil {
+		ao.sink = from
 		from.Send(&link.Frame{Granted: &link.Granted{Key: k, Started: true}})
 		return
 	}
@@ -129,23 +130,23 @@
 		from.Send(e.frame)
 		return
 	}
-	if g.calls[k] == nil && k.Number <= g.forgotten[k.Origin] {
-		// It may be one of those that ended long ago: the one that asks may have been
-		// suspended, and its clock with it, so that no bound on its question helps.
+	if g.active[k] == nil && k.Number <= g.expiredUpTo[k.Origin] {
+		// It may have run and its result may have expired: the asking node may have been
+		// suspended, and its clock with it, so its Ask can come at any later time.
 		from.Send(&link.Frame{Failed: &link.Failed{Key: k, Detail: "its end is no longer kept"}})
 		return
 	}
-	delete(g.calls, k) // Should it be granted still, its commit will find nothing.
+	delete(g.active, k) // If it is granted after all, its commit is refused.
 	from.Send(&link.Frame{Refused: &link.Refused{Key: k, Reason: link.ReasonNeverSeen}})
 }
 
-// Lost withdraws what came over a link that broke. Work that may run only once
-// goes on and can be asked for.
+// Lost withdraws the offers that came over a broken link. Running non-retryable requests go on,
+// and the ingress can ask for their results.
 func (g *Gate) Lost(from Sink) {
 	g.mu.Lock()
 	var keys []link.Key
-	for k, c := range g.calls {
-		if c.sink == from {
+	for k, ao := range g.active {
+		if ao.sink == from {
 			keys = append(keys, k)
 		}
 	}
--- a/gate/queue.go
+++ b/gate/queue.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// queuePerSlot bounds the queue; what is behind it would wait many times the
-	// usual answer time.
-	queuePerSlot = 16
-	// queueShare of its time is how long an offer may wait. After that the caller
-	// has more of a chance elsewhere, told so in time.
-	queueShare = 0.4
-	// lateAnswers is for how many mean answer times an offer may wait that cannot be in
-	// time any more.
-	lateAnswers = 2
-	// unknownShare of the time until its aim is what a request is taken to need of a kind
-	// whose answer times are not known.
-	unknownShare = 0.5
-	// assumedTime stands in for the mean answer time before there is one.
-	assumedTime = 100 * time.Millisecond
+	// maxQueuePerSlot bounds the queue; an offer behind it would wait many times the mean
+	// response time.
+	maxQueuePerSlot = 16
+	// maxWaitShare is the part of the time until its deadline that an offer may wait. After
+	// that, another gate is more likely to answer in time.
+	maxWaitShare = 0.4
+	// lateWaitFactor is how many mean response times an offer past its target deadline may
+	// wait.
+	lateWaitFactor = 2
+	// unknownKindShare is the part of the time until its target deadline that a request is
+	// expected to take if its kind has no answer times yet.
+	unknownKindShare = 0.5
+	// assumedResponseTime replaces the mean response time before the first answer.
+	assumedResponseTime = 100 * time.Millisecond
 )
 
-// order is that of the queue.
-func order(a, b *entry) int { return a.place.Compare(&b.place) }
+// compareQueued compares entries by their order in the queue.
+func compareQueued(a, b *entry) int { return a.position.Compare(&b.position) }
 
-// reorder moves behind what can no longer be in time, and refuses what has no room there.
+// reorder moves entries back that can no longer meet their target deadline, and refuses those
+// that would wait too long there.
 func (a *Admission) reorder(at time.Time) []Command {
 	if !a.switches.On(switches.LateLast) {
 		return nil
 	}
 	for _, e := range a.queue {
-		e.place.Note(at, a.likely(e.Kind, e.Aim.Sub(at)))
+		e.position.Note(at, a.expectedTime(e.Kind, e.Aim.Sub(at)))
 	}
-	slices.SortStableFunc(a.queue, order)
+	slices.SortStableFunc(a.queue, compareQueued)
 	var out []Command
 	for i, e := range slices.Clone(a.queue) {
-		if wait := a.wait(at, i); !a.roomFor(e, wait) {
+		if wait := a.wait(at, i); !a.mayWait(e, wait) {
 			a.drop(e)
 			out = append(out, Refuse{Key: e.Key, Reason: link.ReasonBusy, After: wait})
 		}
@@ -47,43 +48,44 @@
 	return out
 }
 
-// roomFor tells whether an offer that is late may wait for so long: behind more than a
-// few answers it would see others pass it until its deadline.
-func (a *Admission) roomFor(e *entry, wait time.Duration) bool {
-	return !e.place.Late() || wait <= lateAnswers*a.answerTime()
+// mayWait reports whether an offer may wait for so long. Past its target deadline it may wait
+// for a few answers only: others would overtake it until its deadline.
+func (a *Admission) mayWait(e *entry, wait time.Duration) bool {
+	return !e.position.Late() || wait <= lateWaitFactor*a.estimatedResponseTime()
 }
 
-// answerTime returns the mean time of an answer, also before there is one.
-func (a *Admission) answerTime() time.Duration {
-	if a.usual == 0 {
-		return assumedTime
+// estimatedResponseTime returns the mean response time, or an assumed one before the first
+// answer.
+func (a *Admission) estimatedResponseTime() time.Duration {
+	if a.meanResponseTime == 0 {
+		return assumedResponseTime
 	}
-	return a.usual
+	return a.meanResponseTime
 }
 
-// wait estimates how long an offer takes with so many before it in the queue.
+// wait estimates how long an offer waits with this many entries before it in the queue.
 func (a *Admission) wait(at time.Time, before int) time.Duration {
-	slots := a.answerTime() * time.Duration(before+1) / time.Duration(max(a.slots, 1))
+	slots := a.estimatedResponseTime() * time.Duration(before+1) / time.Duration(max(a.slots, 1))
 	return max(slots, a.cold.wait(at, before))
 }
 
-// likely is the time that most answers of a kind of request take. Of a kind that was never
-// answered here only this is known: its operators have set an aim that it can meet.
-func (a *Admission) likely(kind uint32, left time.Duration) time.Duration {
+// expectedTime returns the expected answer time of a kind of request. For a kind that was never
+// answered here it assumes that the target deadline can be met, as operators set it so.
+func (a *Admission) expectedTime(kind uint32, left time.Duration) time.Duration {
 	if !a.switches.On(switches.KindTimes) {
-		return a.usual
+		return a.meanResponseTime
 	}
 	if t := a.kinds[kind]; t != nil && t.count > 0 {
 		return t.median()
 	}
-	return min(a.usual, time.Duration(unknownShare*float64(max(left, 0))))
+	return min(a.meanResponseTime, time.Duration(unknownKindShare*float64(max(left, 0))))
 }
 
-// drop takes an offer out that has its end. A repeat that never started costs nothing.
+// drop removes an entry. A repeat that never started goes back to the budget.
 func (a *Admission) drop(e *entry) {
 	delete(a.entries, e.Key)
-	if !e.taken.IsZero() && e.phase != running {
-		a.budget.Return(e.taken)
+	if !e.budgetTaken.IsZero() && e.phase != running {
+		a.budget.Return(e.budgetTaken)
 	}
 	if e.phase == queued {
 		a.queue = slices.DeleteFunc(a.queue, func(o *entry) bool { return o == e })
--- a/gate/settle.go
+++ b/gate/reconcile.go
@@ -10,25 +10,25 @@
 	"eiderfold/switches"
 )
 
-// ticked ends what has waited for too long, and counts attempts that hang.
+// ticked refuses entries whose wait has expired, and counts attempts that hang.
 func (a *Admission) ticked(at time.Time) []Command {
 	a.tick(at)
 	out := a.reorder(at)
 	for _, e := range a.inOrder() {
 		switch {
-		case e.phase == granted && at.After(e.until):
+		case e.phase == granted && at.After(e.expires):
 			a.drop(e)
 			out = append(out, Refuse{Key: e.Key, Reason: link.ReasonExpired})
-		case e.phase == queued && at.After(e.until):
+		case e.phase == queued && at.After(e.expires):
 			a.drop(e)
 			out = append(out, Refuse{Key: e.Key, Reason: link.ReasonBusy, After: a.wait(at, len(a.queue))})
-		case e.phase == running && a.failsTry(at, e):
+		case e.phase == running && a.trialAttemptHangs(at, e):
 			e.hung = true
 			a.bad(at, suspicionHang)
 		}
 	}
-	if !a.trial && a.switches.On(switches.Silence) && a.silent(at) {
-		a.fallSilent(at)
+	if !a.trial && a.switches.On(switches.Silence) && a.unresponsive(at) {
+		a.beginHangTrial(at)
 	}
 	if a.trial && a.switches.On(switches.Warnings) {
 		out = append(out, a.warn(at)...)
@@ -36,18 +36,18 @@
 	return out
 }
 
-// inOrder returns the offers in hand in the order in which they came.
+// inOrder returns all entries in the order of their arrival.
 func (a *Admission) inOrder() []*entry {
 	return slices.SortedFunc(maps.Values(a.entries), func(x, y *entry) int {
 		return cmp.Or(x.At.Compare(y.At), cmp.Compare(x.Key.Number, y.Key.Number))
 	})
 }
 
-// warn tells of attempts on trial that are not answered, each once.
+// warn returns a Warn command for each attempt on trial that is not answered, once per attempt.
 func (a *Admission) warn(at time.Time) []Command {
 	var out []Command
 	for _, e := range a.inOrder() {
-		if e.phase != running || !e.Retryable || e.warned || a.weigh(at, e.sample) < silenceOfTry {
+		if e.phase != running || !e.Retryable || e.warned || a.sampleEvidence(at, e.sample) < trialAttemptEvidence {
 			continue
 		}
 		e.warned = true
@@ -56,17 +56,17 @@
 	return out
 }
 
-// settle refuses what the mode no longer takes, starts what has a slot, and
-// announces a new mode.
-func (a *Admission) settle(at time.Time) []Command {
+// reconcile refuses entries that the current mode no longer allows, admits queued entries that
+// have a slot, and announces a changed mode.
+func (a *Admission) reconcile(at time.Time) []Command {
 	var out []Command
 	mode := a.Mode()
 	if mode != link.ModeOpen {
-		out = a.clear(mode)
+		out = a.refuseWaiting(mode)
 	}
 	for _, e := range slices.Clone(a.queue) {
-		if !a.free(at, e) {
-			continue // One that is less in doubt may follow.
+		if !a.canAdmit(at, e) {
+			continue // A later entry may be admissible.
 		}
 		a.queue = slices.DeleteFunc(a.queue, func(o *entry) bool { return o == e })
 		out = append(out, a.admit(at, e)...)
@@ -78,19 +78,19 @@
 	return out
 }
 
-// clear refuses what waits when the gate is closed or goes on trial. Offers that
-// hold a slot keep it on trial, as they may be committed already.
-func (a *Admission) clear(mode link.Mode) []Command {
+// refuseWaiting refuses waiting entries when the gate is closed or on trial. On trial, entries
+// with a slot keep it, as their commits may already be on the way.
+func (a *Admission) refuseWaiting(mode link.Mode) []Command {
 	var out []Command
 	for _, e := range a.inOrder() {
 		closed := mode == link.ModeClosed && e.phase != running
-		tried := mode == link.ModeTrial && e.phase == queued && !e.Force
-		if !closed && !tried {
+		onTrial := mode == link.ModeTrial && e.phase == queued && !e.Force
+		if !closed && !onTrial {
 			continue
 		}
 		a.drop(e)
 		reason := link.ReasonClosed
-		if tried {
+		if onTrial {
 			reason = link.ReasonTrial
 		}
 		out = append(out, Refuse{Key: e.Key, Reason: reason})
--- a/gate/script_test.go
+++ b/gate/script_test.go
@@ -17,7 +17,7 @@
 	"eiderfold/port"
 )
 
-// script is a data file: what an admission is told, and what it must want done.
+// script is a data file: messages to an admission and the commands it must return.
 type script struct {
 	Steps []step `yaml:"steps"`
 }
@@ -31,7 +31,7 @@
 	Report  *reportStep  `yaml:"report"`
 	Confirm *confirmStep `yaml:"confirm"`
 	Stop    bool         `yaml:"stop"`
-	// Evacuate says that the data centre is to get nothing, or, if false, that it may again.
+	// Evacuate starts an evacuation of the data centre or, if false, ends it.
 	Evacuate *bool         `yaml:"evacuate"`
 	Bound    *coldStep     `yaml:"bound"`
 	After    time.Duration `yaml:"after"` // Time passes, then a tick.
@@ -69,7 +69,7 @@
 	Cold time.Duration `yaml:"cold"`
 }
 
-// coldStep is what the upstream bears while it is cold.
+// coldStep is the load limit of a cold upstream.
 type coldStep struct {
 	Time time.Duration `yaml:"time"`
 	Rate float64       `yaml:"rate"`
@@ -137,7 +137,7 @@
 	case s.Evacuate != nil:
 		return Evacuated{At: now, On: *s.Evacuate}
 	case s.Bound != nil:
-		return Bounded{At: now, Cold: ColdBound{Time: s.Bound.Time, Rate: s.Bound.Rate}}
+		return ColdBoundChanged{At: now, Cold: ColdBound{Time: s.Bound.Time, Rate: s.Bound.Rate}}
 	case s.Stop:
 		return Stopping{At: now}
 	default:
--- a/gate/upstream.go
+++ b/gate/upstream.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// answerGrace is how long past the deadline the upstream's own answer to a
-	// passed deadline is awaited.
+	// answerGrace is how long after the deadline the client waits for the upstream's own answer
+	// that the deadline has passed.
 	answerGrace = 150 * time.Millisecond
-	// maxStrays is how many answers of earlier requests are skipped.
-	maxStrays = 3
+	// maxStaleAnswers bounds how many answers to earlier requests are skipped.
+	maxStaleAnswers = 3
 )
 
-// Upstream names the process beside the node.
+// Upstream identifies the process beside the node.
 type Upstream struct {
 	Address string // IP:port
 	Service string
 }
 
-// client speaks HTTP/1.1 to the upstream over connections of its own, because it
-// must know of each whether it is quiet, and must never send anything twice.
+// client sends HTTP/1.1 requests to the upstream. It manages its connections itself: it has to
+// check that a connection is idle before it reuses it, and must never send a request twice.
 type client struct {
-	address string
-	dialect port.Dialect
-	dialed  func()
-	mu      sync.Mutex
-	idle    []*upstreamConn
-	rest    time.Duration // How long a connection may rest; 0 for keptTime.
+	address     string
+	dialect     port.Dialect
+	dialed      func()
+	mu          sync.Mutex
+	idle        []*upstreamConn
+	adaptedIdle time.Duration // Adapted idle limit; 0 for maxIdleTime.
 }
 
 // do sends the request once and reads the whole answer.
@@ -45,49 +45,49 @@
 	conn, err := c.connection(ctx, once)
 	if err != nil {
 		if ctx.Err() != nil {
-			return nil, &failure{outcome: NoEvidence, reason: link.ReasonExpired, detail: "given up before a connection came about"}
+			return nil, &failure{outcome: NoEvidence, reason: link.ReasonExpired, detail: "canceled before a connection was established"}
 		}
-		return nil, &failure{outcome: Unreached, reason: link.ReasonNotConnected, detail: err.Error(), processEnded: refusedConnection(err)}
+		return nil, &failure{outcome: Unreached, reason: link.ReasonNotConnected, detail: err.Error(), processEnded: connectionRefused(err)}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
-	rested := conn.rested()
+	idle := conn.idleFor()
 	a, reusable, f := c.exchange(conn, r, t)
 	conn.unused = false
-	c.learn(rested, f)
+	c.adaptIdle(idle, f)
 	open := stop()
 	if !open && f != nil {
 		f = &failure{outcome: NoEvidence, detail: "given up: " + f.detail}
 	}
 	if reusable && open {
-		c.keep(conn)
+		c.putIdle(conn)
 	} else {
-		_ = conn.Close() // Whatever comes on it now belongs to nobody.
+		_ = conn.Close() // Later data on it would belong to no request.
 	}
 	return a, f
 }
 
-// exchange writes the request and reads its answer, and tells whether the
-// connection can be used again.
+// exchange writes the request and reads its answer, and reports whether the connection can be
+// reused.
 func (c *client) exchange(conn *upstreamConn, r *link.Content, t port.OutgoingTerms) (*answer, bool, *failure) {
 	_ = conn.SetDeadline(time.Now().Add(t.Left + answerGrace)) // Fails only on a closed connection, as the write does.
-	_, sent := conn.Write(c.encode(r, t))
-	// An upstream may answer before it has read a long body, so a failed write
-	// does not mean that there is no answer.
-	for range maxStrays {
+	_, writeErr := conn.Write(c.encode(r, t))
+	// An upstream may answer before it has read a long body, so a failed write does not mean
+	// that there is no answer.
+	for range maxStaleAnswers {
 		a, reusable, err := c.read(conn, r.Method)
 		if err != nil {
-			return nil, false, c.failed(err, sent)
+			return nil, false, c.failed(err, writeErr)
 		}
-		terms := c.dialect.Answer(a.status, a.header)
-		if terms.Attempt != "" && terms.Attempt != http.Header(r.Header).Get(c.dialect.AttemptHeader()) {
+		meta := c.dialect.Answer(a.status, a.header)
+		if meta.Attempt != "" && meta.Attempt != http.Header(r.Header).Get(c.dialect.AttemptHeader()) {
 			continue // The answer to an earlier request; ours may follow.
 		}
-		return c.judge(a, terms, reusable && sent == nil)
+		return c.classify(a, meta, reusable && writeErr == nil)
 	}
 	return nil, false, &failure{outcome: Broken, detail: "answers of other requests only"}
 }
 
-// encode writes the request as the caller sent it, with the headers for the upstream.
+// encode returns the request as the caller sent it, with the headers for the upstream.
 func (c *client) encode(r *link.Content, t port.OutgoingTerms) []byte {
 	h := http.Header(r.Header).Clone()
 	c.dialect.SetOutgoing(h, t)
@@ -96,32 +96,32 @@
 	}
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
-	_ = h.Write(&out) // A buffer takes everything.
+	_ = h.Write(&out) // Writes to a buffer do not fail.
 	out.WriteString("\r\n")
 	out.Write(r.Body)
 	return out.Bytes()
 }
 
-// checkHealth asks the upstream's health path and returns the incarnation that
-// says it is well.
+// checkHealth requests the upstream's health path and returns the id of the incarnation that
+// answered with 200.
 func (c *client) checkHealth(ctx context.Context, path string) (string, error) {
 	conn, err := c.connection(ctx, true)
 	if err != nil {
 		return "", err
 	}
-	defer conn.Close() //nolint:errcheck // Nothing more is wanted of it.
+	defer conn.Close() //nolint:errcheck // The connection is not reused.
 	if at, ok := ctx.Deadline(); ok {
 		_ = conn.SetDeadline(at)
 	}
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", path, c.address); err != nil {
-		return "", errors.Wrap(err, "health")
+		return "", errors.Wrap(err, "health check")
 	}
 	a, _, err := c.read(conn, http.MethodGet)
 	if err != nil {
 		return "", err
 	}
 	if a.status != http.StatusOK {
-		return "", errors.Errorf("health: status %d", a.status)
+		return "", errors.Errorf("health check: status %d", a.status)
 	}
 	return c.dialect.Answer(a.status, a.header).Upstream, nil
 }
--- a/gate/upstream_test.go
+++ b/gate/upstream_test.go
@@ -21,7 +21,7 @@
 	"eiderfold/port"
 )
 
-// answerCase is what an upstream writes for one request, and what becomes of it.
+// answerCase is what an upstream writes for one request, and the expected result.
 type answerCase struct {
 	Name    string `yaml:"name"`
 	Writes  string `yaml:"writes"`
@@ -30,18 +30,18 @@
 	Status  int    `yaml:"status"`
 	Body    string `yaml:"body"`
 	Outcome string `yaml:"outcome"` // Of a failure; empty for an answer.
-	Reason  string `yaml:"reason"`  // Set if it has not run for certain.
-	Kept    bool   `yaml:"kept"`    // The connection is used again.
+	Reason  string `yaml:"reason"`  // Set if the request has certainly not run.
+	Kept    bool   `yaml:"kept"`    // The connection is kept for reuse.
 }
 
-// rawUpstream answers every request on a connection by a function.
+// rawUpstream answers the requests on its connections by a function.
 type rawUpstream struct {
 	net.Listener
 	connections atomic.Int32
 	requests    atomic.Int32
 }
 
-func startRaw(t *testing.T, answer func(c *net.TCPConn, r *http.Request, body []byte) (goOn bool)) *rawUpstream {
+func startRaw(t *testing.T, answer func(c *net.TCPConn, r *http.Request, body []byte) (keepOpen bool)) *rawUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -80,7 +80,7 @@
 	_, _ = io.WriteString(c, strings.ReplaceAll(a.Writes, "{id}", r.Header.Get("Attempt-Id")))
 	switch {
 	case a.Resets:
-		time.Sleep(20 * time.Millisecond) // The reader takes what came before the reset.
+		time.Sleep(20 * time.Millisecond) // Let the client read what came before the reset.
 		_ = c.SetLinger(0)
 		_ = c.Close()
 	case a.Closes:
@@ -97,7 +97,7 @@
 	return &link.Content{Method: http.MethodPost, Target: "/a/%2Fb?q=1", Host: "office.example", Header: http.Header{"Attempt-Id": {id}}, Body: []byte("text")}
 }
 
-var testTerms = port.OutgoingTerms{Left: 2 * time.Second, Upstream: "i-1", CallerService: "births"}
+var testMetadata = port.OutgoingTerms{Left: 2 * time.Second, Upstream: "i-1", CallerService: "births"}
 
 func TestAnswers(t *testing.T) {
 	text, err := os.ReadFile("testdata/answers/cases.yaml")
@@ -108,7 +108,7 @@
 		t.Run(c.Name, func(t *testing.T) {
 			u := startRaw(t, func(conn *net.TCPConn, r *http.Request, _ []byte) bool { return c.write(conn, r) })
 			client := newTestClient(u.Addr().String())
-			a, f := client.do(context.Background(), testContent("x1"), testTerms, true)
+			a, f := client.do(context.Background(), testContent("x1"), testMetadata, true)
 			if c.Outcome == "" {
 				require.Nil(t, f)
 				assert.Equal(t, c.Status, a.status)
@@ -128,7 +128,7 @@
 	}
 }
 
-// TestRequestPassesUnchanged looks at the request as the upstream gets it.
+// TestRequestPassesUnchanged checks the request that the upstream receives.
 func TestRequestPassesUnchanged(t *testing.T) {
 	seen := make(chan *http.Request, 1)
 	body := make(chan string, 1)
@@ -140,7 +140,7 @@
 	content := testContent("x1")
 	content.Header["Caller-Service"] = []string{"forged"}
 	content.Header["X-Own"] = []string{"1", "2"}
-	_, f := newTestClient(u.Addr().String()).do(context.Background(), content, testTerms, true)
+	_, f := newTestClient(u.Addr().String()).do(context.Background(), content, testMetadata, true)
 	require.Nil(t, f)
 	r := <-seen
 	assert.Equal(t, "/a/%2Fb?q=1", r.RequestURI)
@@ -152,79 +152,77 @@
 	assert.Equal(t, "text", <-body)
 }
 
-// TestKeptConnectionThatDied closes a kept connection from the other side: the
-// next request goes out on a new one, and only there.
-func TestKeptConnectionThatDied(t *testing.T) {
+// A kept connection that the upstream has closed must not be reused: the next request goes out
+// once, on a new connection.
+func TestClosedConnectionIsNotReused(t *testing.T) {
 	first := make(chan *net.TCPConn, 4)
 	u := startRaw(t, func(c *net.TCPConn, r *http.Request, _ []byte) bool {
 		first <- c
 		return answerCase{Writes: "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nResponse-Stamp: s\r\nContent-Length: 0\r\n\r\n"}.write(c, r)
 	})
 	client := newTestClient(u.Addr().String())
-	_, f := client.do(context.Background(), testContent("x1"), testTerms, true)
+	_, f := client.do(context.Background(), testContent("x1"), testMetadata, true)
 	require.Nil(t, f)
 	require.NoError(t, (<-first).Close())
-	require.Eventually(t, func() bool { return len(client.idle) == 1 && !quiet(client.idle[0]) }, 5*time.Second, time.Millisecond)
-	_, f = client.do(context.Background(), testContent("x2"), testTerms, true)
+	require.Eventually(t, func() bool { return len(client.idle) == 1 && !isUsable(client.idle[0]) }, 5*time.Second, time.Millisecond)
+	_, f = client.do(context.Background(), testContent("x2"), testMetadata, true)
 	require.Nil(t, f)
 	assert.EqualValues(t, 2, u.connections.Load())
 	assert.EqualValues(t, 2, u.requests.Load())
 }
 
-// TestOnceTakesNoRestedConnection keeps a connection for longer than a request
-// that may run only once would use it.
-func TestOnceTakesNoRestedConnection(t *testing.T) {
+// A request that may run only once must not use a connection that has been idle for long.
+func TestOnceUsesNoLongIdleConnection(t *testing.T) {
 	u := startRaw(t, func(c *net.TCPConn, r *http.Request, _ []byte) bool {
 		return answerCase{Writes: "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nResponse-Stamp: s\r\nContent-Length: 0\r\n\r\n"}.write(c, r)
 	})
 	client := newTestClient(u.Addr().String())
-	_, f := client.do(context.Background(), testContent("x1"), testTerms, true)
+	_, f := client.do(context.Background(), testContent("x1"), testMetadata, true)
 	require.Nil(t, f)
-	client.idle[0].idleSince = time.Now().Add(-keptOnceTime)
-	_, f = client.do(context.Background(), testContent("x2"), testTerms, false)
+	client.idle[0].idleSince = time.Now().Add(-maxIdleTimeOnce)
+	_, f = client.do(context.Background(), testContent("x2"), testMetadata, false)
 	require.Nil(t, f)
 	assert.EqualValues(t, 1, u.connections.Load(), "a retryable request uses it")
-	client.idle[0].idleSince = time.Now().Add(-keptOnceTime)
-	_, f = client.do(context.Background(), testContent("x3"), testTerms, true)
+	client.idle[0].idleSince = time.Now().Add(-maxIdleTimeOnce)
+	_, f = client.do(context.Background(), testContent("x3"), testMetadata, true)
 	require.Nil(t, f)
 	assert.EqualValues(t, 2, u.connections.Load(), "another one does not")
 }
 
-// TestUpstreamForgetsIdleConnections loses a connection under a request after a
-// rest: others are not left to rest as long, until answers show that they may.
-func TestUpstreamForgetsIdleConnections(t *testing.T) {
+// After a connection broke at the end of an idle time, other connections must be dropped
+// earlier, until answers raise the limit again.
+func TestIdleLimitAdaptsToBrokenConnections(t *testing.T) {
 	u := startRaw(t, func(c *net.TCPConn, r *http.Request, _ []byte) bool {
 		return answerCase{Writes: "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nResponse-Stamp: s\r\nContent-Length: 0\r\n\r\n"}.write(c, r)
 	})
 	client := newTestClient(u.Addr().String())
-	_, f := client.do(context.Background(), testContent("x1"), testTerms, false)
+	_, f := client.do(context.Background(), testContent("x1"), testMetadata, false)
 	require.Nil(t, f)
-	client.learn(time.Second, &failure{outcome: Broken})
-	assert.Equal(t, 700*time.Millisecond, client.mayRest(false))
+	client.adaptIdle(time.Second, &failure{outcome: Broken})
+	assert.Equal(t, 700*time.Millisecond, client.idleLimit(false))
 	client.idle[0].idleSince = time.Now().Add(-800 * time.Millisecond)
-	_, f = client.do(context.Background(), testContent("x2"), testTerms, false)
+	_, f = client.do(context.Background(), testContent("x2"), testMetadata, false)
 	require.Nil(t, f)
 	assert.EqualValues(t, 2, u.connections.Load(), "the rested connection was not used")
 	for range 20 {
-		client.learn(0, nil)
+		client.adaptIdle(0, nil)
 	}
-	assert.Greater(t, client.mayRest(false), 2*time.Second)
-	assert.Equal(t, keptOnceTime, client.mayRest(true))
+	assert.Greater(t, client.idleLimit(false), 2*time.Second)
+	assert.Equal(t, maxIdleTimeOnce, client.idleLimit(true))
 }
 
-// TestNothingListens is certain not to have run.
-func TestNothingListens(t *testing.T) {
+// A request has certainly not run if nothing listens.
+func TestRefusedConnectionHasNotRun(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, l.Close())
-	_, f := newTestClient(l.Addr().String()).do(context.Background(), testContent("x1"), testTerms, true)
+	_, f := newTestClient(l.Addr().String()).do(context.Background(), testContent("x1"), testMetadata, true)
 	require.NotNil(t, f)
 	assert.Equal(t, link.ReasonNotConnected, f.reason)
 }
 
-// TestGivenUpClosesTheConnection cancels an attempt: the upstream sees its
-// connection end.
-func TestGivenUpClosesTheConnection(t *testing.T) {
+// Canceling an attempt must close its connection.
+func TestCancelClosesTheConnection(t *testing.T) {
 	started, ended := make(chan bool, 1), make(chan bool, 1)
 	u := startRaw(t, func(c *net.TCPConn, _ *http.Request, _ []byte) bool {
 		started <- true
@@ -237,7 +235,7 @@
 		<-started
 		cancel()
 	}()
-	_, f := newTestClient(u.Addr().String()).do(ctx, testContent("x1"), testTerms, false)
+	_, f := newTestClient(u.Addr().String()).do(ctx, testContent("x1"), testMetadata, false)
 	require.NotNil(t, f)
 	assert.Equal(t, NoEvidence, f.outcome)
 	assert.Equal(t, link.ReasonNone, f.reason, "it may have run")
