--- a/budget/budget.go
+++ b/budget/budget.go
@@ -1,11 +1,10 @@
-// Package budget bounds how often a fleet sends requests again.
+// Package budget limits how many requests a fleet sends again.
 //
-// The fleet's bound, over any window, is a ratio of a service's requests and a slack
-// above it. It is kept where attempts arrive: each gate takes the ratio of the first
-// attempts that it starts and an equal part of its service's slack, so that the sum
-// keeps the bound whoever can hear whom. A gate whose upstream does well sees many
-// first attempts and may take many repeats: the budget is where repeats are sent, and
-// need not be moved.
+// Within any window, the repeats of a service are limited to a ratio of its requests plus a
+// fixed slack. The limit is enforced where attempts arrive: each gate allows the ratio of the
+// first attempts that it starts itself, plus an equal part of the service's slack. The sum
+// keeps the limit without any communication between gates. Repeats go to healthy upstreams,
+// whose gates start many first attempts and so have the largest budgets.
 //
 // # Usage
 //
@@ -22,36 +21,36 @@
 )
 
 const (
-	// ratioShare of the bound's ratio is spent, and slackShare of its slack. The rest
-	// is for calls of repeated runs, which are charged but cannot be held back, and
-	// for what a restarted process does not know to have spent. By
-	// TestBudgetHoldsOverAnyWindow the bound holds so; at a ratioShare of 1 it did not.
+	// ratioShare and slackShare are the parts of the limit's ratio and slack that gates use.
+	// The rest covers nested requests of repeated runs, which are counted but never refused,
+	// and what a process used before it restarted. TestBudgetHoldsOverAnyWindow checks that the
+	// limit holds with these values.
 	ratioShare = 0.85
 	slackShare = 0.65
-	// youngShare of its slack is what a process has that has not run for a window: it
-	// may have spent the rest before a restart. A fleet that is restarted at once
-	// keeps the bound.
-	youngShare = 0.5
-	// hedgeReserve is the part of the budget that hedges leave alone: a hedge is a
-	// guess, and a failure is not.
+	// startupShare is the part of its slack that a process may use until it has run for a
+	// window: it may have used the rest before a restart. So the limit also holds if the whole
+	// fleet restarts at once.
+	startupShare = 0.5
+	// hedgeReserve is the part of the budget that hedges may not use. It is reserved for failed
+	// attempts, which need a repeat more than slow ones.
 	hedgeReserve = 0.3
 )
 
-// Claim says by what right an attempt that repeats another asks to start.
+// Claim is the kind of an attempt: whether and why it repeats another one.
 type Claim uint8
 
-// Claims.
+// Kinds of attempt.
 const (
 	First   Claim = iota // It repeats nothing.
-	Charged              // A call of a repeated run: counted, and not held back.
-	Failure              // The attempt before it failed.
-	Hedge                // The attempt before it is late.
+	Charged              // A nested request of a repeated run: counted, but never refused.
+	Failure              // A repeat after a failed attempt.
+	Hedge                // A repeat beside an attempt that takes long.
 )
 
-// Repeats tells whether the attempt needs the budget's leave.
+// Repeats reports whether the attempt needs budget to start.
 func (c Claim) Repeats() bool { return c == Failure || c == Hedge }
 
-// reserve is the part of the budget that the claim leaves alone.
+// reserve returns the part of the budget that this kind may not use.
 func (c Claim) reserve() float64 {
 	if c == Hedge {
 		return hedgeReserve
@@ -59,21 +58,21 @@
 	return 0
 }
 
-// Budget is one gate's part. It is safe for concurrent use.
+// Budget is the repeat budget of one gate. It is safe for concurrent use.
 type Budget struct {
-	mu      sync.Mutex
-	ratio   float64   // What is spent of the fleet's.
-	slack   float64   // What is spent of the fleet's, by all gates together.
-	gates   int       // The largest number of gates seen; more gates, smaller parts.
-	place   float64   // The gate's place among all nodes, in [0, 1).
-	grown   time.Time // When the process will have run for a window.
-	firsts  counts
-	repeats counts
+	mu          sync.Mutex
+	ratio       float64   // The part of the fleet's ratio that is used.
+	slack       float64   // The part of the fleet's slack that is used by all gates together.
+	gates       int       // The largest number of gates seen, which gives the smallest parts.
+	rounding    float64   // The gate's rank among all nodes, in [0, 1).
+	startupEnds time.Time // When the process will have run for a window.
+	firsts      windowCounter
+	repeats     windowCounter
 }
 
-// New returns the part of a process that begins now, of a fleet's ratio and slack.
+// New returns the budget of a process that starts now, by the fleet's ratio and slack.
 func New(ratio, slack float64, now time.Time) *Budget {
-	b := &Budget{gates: 1, grown: now.Add(window)}
+	b := &Budget{gates: 1, startupEnds: now.Add(window)}
 	b.SetBounds(ratio, slack)
 	return b
 }
@@ -86,22 +85,22 @@
 	b.slack = slack * slackShare
 }
 
-// NoteGates takes note of how many gates the service has now.
+// NoteGates records how many gates the service has now.
 func (b *Budget) NoteGates(gates int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.gates = max(b.gates, gates)
 }
 
-// NotePlace takes note of the gate's place in an order of all nodes, in [0, 1). A repeat is
-// whole, and a gate's part need not be: with more gates than slack every part is under one,
-// and nobody could repeat anything before its upstream has had several requests. So a part
-// is rounded up or down by the place. Places are spread evenly, and what is rounded up at
-// some gates is rounded down at others: the sum stays that of the parts.
+// NotePlace sets the gate's rank in an order of all nodes, in [0, 1). Repeats are counted in
+// whole numbers, but a gate's budget is a fraction: with more gates than slack, every gate has
+// less than one repeat, and none could repeat anything until its upstream had several requests.
+// The rank decides whether the budget is rounded up or down. As ranks are evenly spread, the
+// sum over all gates stays the same.
 func (b *Budget) NotePlace(place float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.place = place
+	b.rounding = place
 }
 
 // Earn counts a first attempt.
@@ -111,44 +110,44 @@
 	b.firsts.add(now)
 }
 
-// Charge counts a repeat that nobody chose: a call of a repeated run.
+// Charge counts a nested request of a repeated run, which is never refused.
 func (b *Budget) Charge(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.repeats.add(now)
 }
 
-// Take counts a repeat and reports whether the budget has it.
+// Take counts a repeat and returns true if the budget allows it.
 func (b *Budget) Take(now time.Time, c Claim) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.fits(now, c) {
+	if !b.allows(now, c) {
 		return false
 	}
 	b.repeats.add(now)
 	return true
 }
 
-// Return gives back a repeat that was taken then and has not started.
+// Return gives back a repeat that was taken at the given time and has not started.
 func (b *Budget) Return(taken time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.repeats.remove(taken)
 }
 
-// Has tells whether a repeat would be within the budget, without counting one.
+// Has reports whether the budget allows a repeat, without counting one.
 func (b *Budget) Has(now time.Time, c Claim) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.fits(now, c)
+	return b.allows(now, c)
 }
 
-// fits tells whether one more repeat keeps the bound, with the lock held.
-func (b *Budget) fits(now time.Time, c Claim) bool {
+// allows reports whether one more repeat is within the limit. The caller holds the lock.
+func (b *Budget) allows(now time.Time, c Claim) bool {
 	slack := b.slack
-	if now.Before(b.grown) {
-		slack = youngShare * b.slack
+	if now.Before(b.startupEnds) {
+		slack = startupShare * b.slack
 	}
 	bound := b.ratio*b.firsts.sum(now) + slack/float64(b.gates)
-	return b.repeats.sum(now)+1 <= (1-c.reserve())*bound+b.place
+	return b.repeats.sum(now)+1 <= (1-c.reserve())*bound+b.rounding
 }
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fleetOfBudgets draws bursts of requests, repeats and calls of repeated runs at many
-// gates that never hear each other, and restarts them all once.
-type fleetOfBudgets struct {
+// simulatedFleet generates bursts of requests, repeats and nested requests of repeated runs at
+// many gates that do not communicate, and restarts them all once.
+type simulatedFleet struct {
 	random   *rand.Rand
 	budgets  []*Budget
-	requests []time.Duration // When a request came.
-	repeats  []time.Duration // When a repeat reached its upstream.
+	requests []time.Duration // When each request arrived.
+	repeats  []time.Duration // When each repeat reached its upstream.
 	returned int
 }
 
@@ -26,22 +26,22 @@
 	budgetLength = 80 * time.Second
 )
 
-func (f *fleetOfBudgets) start(now time.Time) {
+func (f *simulatedFleet) start(now time.Time) {
 	f.budgets = nil
 	for i := range budgetGates {
 		b := New(budgetRatio, budgetSlack, now)
 		b.NoteGates(budgetGates)
-		b.NotePlace(placeOf(i, budgetGates))
+		b.NotePlace(roundingOf(i, budgetGates))
 		f.budgets = append(f.budgets, b)
 	}
 }
 
-// placeOf is the place of a gate among some.
-func placeOf(i, gates int) float64 { return (float64(i) + 0.5) / float64(gates) }
+// roundingOf returns the rank of gate i.
+func roundingOf(i, gates int) float64 { return (float64(i) + 0.5) / float64(gates) }
 
-// step lets a step pass. Requests come for ten seconds of each fifteen, and how long
-// repeats take to reach an upstream changes from second to second, for all alike.
-func (f *fleetOfBudgets) step(at time.Duration, now time.Time) {
+// step simulates one time step. Requests arrive in ten seconds of each fifteen. The delay until
+// repeats reach an upstream changes every second and is the same for all.
+func (f *simulatedFleet) step(at time.Duration, now time.Time) {
 	second := int(at / time.Second)
 	delay := time.Duration(second*7%10) * 95 * time.Millisecond
 	for _, b := range f.budgets {
@@ -67,10 +67,10 @@
 	}
 }
 
-// within counts the moments in a window.
-func within(moments []time.Duration, from time.Duration) float64 {
+// countWithin counts the times in the window that begins at from.
+func countWithin(times []time.Duration, from time.Duration) float64 {
 	n := 0.0
-	for _, at := range moments {
+	for _, at := range times {
 		if at >= from && at < from+window {
 			n++
 		}
@@ -78,11 +78,11 @@
 	return n
 }
 
-// TestBudgetHoldsOverAnyWindow keeps the fleet's bound in every window, wherever it
-// begins: by the requests of the window, the one before or half of each.
+// TestBudgetHoldsOverAnyWindow checks the fleet's limit in every window, by the requests of the
+// same window, the one before or half of each.
 func TestBudgetHoldsOverAnyWindow(t *testing.T) {
 	for seed := range uint64(20) {
-		f := &fleetOfBudgets{random: rand.New(rand.NewPCG(seed, 1))}
+		f := &simulatedFleet{random: rand.New(rand.NewPCG(seed, 1))}
 		begin := time.Unix(1000, 0)
 		f.start(begin)
 		restart := time.Duration(f.random.Int64N(int64(budgetLength)))
@@ -94,14 +94,14 @@
 		}
 		assert.Positive(t, f.returned)
 		for from := time.Duration(0); from <= budgetLength; from += budgetStep {
-			asked := max(within(f.requests, from), within(f.requests, from-window/2), within(f.requests, from-window))
-			assert.LessOrEqual(t, within(f.repeats, from), budgetRatio*asked+budgetSlack, "seed %d, window from %v", seed, from)
+			asked := max(countWithin(f.requests, from), countWithin(f.requests, from-window/2), countWithin(f.requests, from-window))
+			assert.LessOrEqual(t, countWithin(f.repeats, from), budgetRatio*asked+budgetSlack, "seed %d, window from %v", seed, from)
 		}
 	}
 }
 
-// TestBudgetKeepsAReserve lets hedges take only a part.
-func TestBudgetKeepsAReserve(t *testing.T) {
+// Hedges must leave the reserve to repeats after failures.
+func TestHedgesLeaveAReserve(t *testing.T) {
 	b := New(0, 10/slackShare, time.Time{})
 	now := time.Unix(1000, 0)
 	hedges := 0
@@ -110,11 +110,11 @@
 	}
 	assert.Equal(t, 7, hedges)
 	assert.True(t, b.Take(now, Failure), "a failure may still be repeated")
-	assert.True(t, b.Take(now.Add(window), Hedge), "a window later it is whole again")
+	assert.True(t, b.Take(now.Add(window), Hedge), "a window later the budget is full again")
 }
 
-// TestChargedCallsLeaveLess counts the calls of repeated runs, which nobody chooses.
-func TestChargedCallsLeaveLess(t *testing.T) {
+// Charged requests must reduce the budget, although they are never refused.
+func TestChargedRequestsUseTheBudget(t *testing.T) {
 	b := New(0, 10/slackShare, time.Time{})
 	now := time.Unix(1000, 0)
 	for range 9 {
@@ -124,8 +124,7 @@
 	assert.False(t, b.Take(now, Failure))
 }
 
-// TestRestartedFleetKeepsItsSlack spends all slack, restarts every node and spends
-// what they then believe to have.
+// A fleet that restarts after it used all of its slack must not exceed the slack in total.
 func TestRestartedFleetKeepsItsSlack(t *testing.T) {
 	const slack = 70
 	begin := time.Unix(1000, 0)
@@ -135,7 +134,7 @@
 		for i := range budgetGates {
 			b := New(0, slack, started)
 			b.NoteGates(budgetGates)
-			b.NotePlace(placeOf(i, budgetGates))
+			b.NotePlace(roundingOf(i, budgetGates))
 			for b.Take(now, Failure) {
 				spent++
 			}
@@ -145,12 +144,9 @@
 	assert.GreaterOrEqual(t, spent, slack/2)
 }
 
-// In a fleet of 740 gates with a slack of 1,040 a gate's part is 0.91 of a repeat, and 0.46
-// while it is young. Counted in whole repeats that was none: in the first two seconds of
-// traffic lookups that met a reset were not sent again, and 8% of all requests failed, where
-// later 3% did. All gates together give what their parts add up to, whatever the number of
-// gates, and no more.
-func TestPartsUnderOneAddUp(t *testing.T) {
+// With more gates than slack, each gate's part is less than one repeat. The gates together must
+// still allow the sum of their parts, and no more.
+func TestFractionalPartsAddUp(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	for _, c := range []struct {
 		gates int
@@ -161,23 +157,23 @@
 			for i := range c.gates {
 				b := New(budgetRatio, c.slack, started)
 				b.NoteGates(c.gates)
-				b.NotePlace(placeOf(i, c.gates))
+				b.NotePlace(roundingOf(i, c.gates))
 				for b.Take(begin, Failure) {
 					given++
 				}
 			}
 			parts := slackShare * c.slack
 			if started == begin {
-				parts *= youngShare
+				parts *= startupShare
 			}
 			assert.InDelta(t, parts, given, 1, "%d gates, slack %v, started %v", c.gates, c.slack, started)
 		}
 	}
 }
 
-// TestReturnedInTheWindowOfItsTaking gives a repeat back seconds after it was taken:
-// the budget must not have more of it when its second leaves the window.
-func TestReturnedInTheWindowOfItsTaking(t *testing.T) {
+// A repeat that is given back seconds later must be removed from the bucket in which it was
+// taken: otherwise the budget would grow when that bucket leaves the window.
+func TestReturnCountsInItsOwnBucket(t *testing.T) {
 	b := New(0, 1/slackShare, time.Time{})
 	taken := time.Unix(1000, 0)
 	assert.True(t, b.Take(taken, Failure))
@@ -185,7 +181,7 @@
 	later := taken.Add(window - bucket)
 	assert.True(t, b.Take(later, Failure))
 	assert.False(t, b.Take(later, Failure))
-	assert.False(t, b.Take(taken.Add(window), Failure), "what was given back is not given twice")
-	b.Return(taken) // Its second is not counted any more.
+	assert.False(t, b.Take(taken.Add(window), Failure), "a returned repeat is available only once")
+	b.Return(taken) // Its bucket has left the window.
 	assert.False(t, b.Take(taken.Add(window), Failure))
 }
