--- a/overload/doc.go
+++ b/overload/doc.go
@@ -1,21 +1,22 @@
-// Package overload decides about requests while a service has less room than its
-// callers need: who waits, for how long and in which order, who is turned away and
-// when, and by which word a caller is told to come back. It knows no connections, no
-// clocks and no messages; the ingress and the gates ask it.
+// Package overload decides how requests are handled while a service has less capacity than its
+// callers need: which wait, for how long and in which order, which are refused and when, and
+// what retry-after a refused caller gets. It has no connections, clocks or messages of its own;
+// the ingress and the gates call it.
 //
-// The loads that it answers:
+// It handles these cases:
 //
-//   - A service is short and calls itself or others. A request that an upstream makes
-//     while it works on another one is a call. Turned away, it takes with it the work
-//     that its parent has had, so it has its parent's urgency and aim, and waits until
-//     then while it is in nobody's way (Terms.ForCall, Terms.KeptUntil).
-//   - A service is short of room for what is asked of it. What no gate takes is told so
-//     soon rather than at its deadline; only what has run already, and calls, are kept
-//     for longer (Terms.KeptUntil).
-//   - A burst fills the queues. Served in their order, all would be late, though as many
-//     could be in time as there is room for: what no longer can goes last (Place).
-//   - Callers are refused together. They are told to come back when a gate expects room,
-//     spread, and the more urgent first (Terms.ComeBack).
+//   - A service is saturated and calls itself or others. A request that an upstream makes
+//     while it works on another one is a nested request. If it is refused, the work on its
+//     parent is lost. So it gets its parent's priority and target deadline, and is kept until
+//     then unless other requests wait for the parent's slot (Terms.ForCall, Terms.KeptUntil).
+//   - A service has less capacity than is requested. A request that no gate takes is refused
+//     soon rather than at its deadline. Only nested requests, and requests that have already
+//     run, are kept for longer (Terms.KeptUntil).
+//   - A burst fills the queues. In order of arrival, all requests would miss their target
+//     deadlines, although the capacity would be enough for some. So those that can no longer
+//     meet theirs go last (Place).
+//   - Many callers are refused at once. They get a retry-after by the wait that gates
+//     estimate, with random jitter, and shorter for higher priorities (Terms.ComeBack).
 //
 // # Usage
 //
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -11,20 +11,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sheet is a data file: requests with their terms, and queues with their order.
-type sheet struct {
-	Terms  []termsRow `yaml:"terms"`
-	Queues []queueRow `yaml:"queues"`
-	Backs  []backRow  `yaml:"come_back"`
+// testData is a data file: requests with their requirements, queues with their order, and
+// refusals with their retry-after.
+type testData struct {
+	Terms      []termsCase `yaml:"terms"`
+	Queues     []queueCase `yaml:"queues"`
+	RetryAfter []retryCase `yaml:"come_back"`
 }
 
-// termsRow is a request, as times since its arrival, and what its terms have to be.
-type termsRow struct {
+// termsCase is a request, with times since its arrival, and its expected requirements.
+type termsCase struct {
 	Why      string        `yaml:"why"`
 	Priority int           `yaml:"priority"`
 	Target   time.Duration `yaml:"target"`
 	Deadline time.Duration `yaml:"deadline"`
-	Parent   *parentRow    `yaml:"parent"`
+	Parent   *parentCase   `yaml:"parent"`
 	Ran      bool          `yaml:"ran"`
 	Crowded  bool          `yaml:"crowded"`
 	Want     struct {
@@ -35,22 +36,22 @@
 	} `yaml:"want"`
 }
 
-type parentRow struct {
+type parentCase struct {
 	Priority int           `yaml:"priority"`
 	Aim      time.Duration `yaml:"aim"`
 	Deadline time.Duration `yaml:"deadline"`
 }
 
-// queueRow is what waits at a moment, and the order in which it goes.
-type queueRow struct {
+// queueCase is the content of a queue at a time, and its expected order.
+type queueCase struct {
 	Why     string        `yaml:"why"`
 	At      time.Duration `yaml:"at"`
 	Likely  time.Duration `yaml:"likely"`
-	Waiting []placeRow    `yaml:"waiting"`
+	Waiting []queuedCase  `yaml:"waiting"`
 	Want    []string      `yaml:"want"`
 }
 
-type placeRow struct {
+type queuedCase struct {
 	Name     string        `yaml:"name"`
 	Came     time.Duration `yaml:"came"`
 	Priority int           `yaml:"priority"`
@@ -58,18 +59,18 @@
 	Deadline time.Duration `yaml:"deadline"`
 }
 
-func readSheet(t *testing.T) sheet {
+func readTestData(t *testing.T) testData {
 	t.Helper()
 	text, err := os.ReadFile("testdata/overload.yaml")
 	require.NoError(t, err)
-	var s sheet
+	var s testData
 	require.NoError(t, yaml.UnmarshalWithOptions(text, &s, yaml.Strict()))
 	return s
 }
 
 func TestTerms(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	for _, r := range readSheet(t).Terms {
+	for _, r := range readTestData(t).Terms {
 		terms := NewTerms(r.Priority, begin, r.Target, begin.Add(r.Deadline))
 		if p := r.Parent; p != nil {
 			terms = terms.ForCall(Parent{Priority: p.Priority, Aim: begin.Add(p.Aim), Deadline: begin.Add(p.Deadline)})
@@ -81,19 +82,19 @@
 	}
 }
 
-// backRow is a refusal, and when its caller has to be told to come back.
-type backRow struct {
+// retryCase is a refusal and the expected retry-after.
+type retryCase struct {
 	Why      string        `yaml:"why"`
 	Priority int           `yaml:"priority"`
-	Account  int           `yaml:"account"` // The priority by the account's word as well.
+	Account  int           `yaml:"account"` // The priority that the client account sets.
 	Wait     time.Duration `yaml:"wait"`
 	Spread   float64       `yaml:"spread"`
 	Want     time.Duration `yaml:"want"`
 }
 
-func TestComeBack(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	for _, r := range readSheet(t).Backs {
+	for _, r := range readTestData(t).RetryAfter {
 		terms := NewTerms(r.Priority, begin, time.Second, begin.Add(time.Second))
 		if r.Account > 0 {
 			terms = terms.ForAccount(r.Account)
@@ -103,9 +104,9 @@
 	}
 }
 
-func TestPlaces(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	for _, q := range readSheet(t).Queues {
+	for _, q := range readTestData(t).Queues {
 		places := map[string]*Place{}
 		var names []string
 		for _, w := range q.Waiting {
--- a/overload/place.go
+++ b/overload/place.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// priorityStep is how much later an offer could have come that goes first for being
-// one step more urgent: about one answer's time.
+// priorityStep is the difference in arrival time that one step of priority makes up for: about
+// the time of one answer.
 const priorityStep = 200 * time.Millisecond
 
-// Place is a request's place in a queue.
+// Place is a request's key for the order of a queue.
 type Place struct {
-	come     time.Time // When it came, moved by its priority.
-	aim      time.Time
-	deadline time.Time
-	late     bool
+	virtualArrival time.Time // Arrival time, shifted by priority.
+	target         time.Time
+	deadline       time.Time
+	late           bool
 }
 
-// NewPlace returns the place of a request that came then.
-func NewPlace(at time.Time, priority int, aim, deadline time.Time) Place {
-	return Place{come: at.Add(time.Duration(priority) * priorityStep), aim: aim, deadline: deadline}
+// NewPlace returns the queue key of a request that arrived at the given time.
+func NewPlace(at time.Time, priority int, target, deadline time.Time) Place {
+	return Place{virtualArrival: at.Add(time.Duration(priority) * priorityStep), target: target, deadline: deadline}
 }
 
-// Note notes whether the answer can still be in time if the work begins now and takes
-// likely. What is late once stays so.
-func (p *Place) Note(now time.Time, likely time.Duration) {
-	p.late = p.late || now.Add(likely).After(p.aim)
+// Note updates whether the request can still meet its target deadline if it starts now and
+// takes the given time. A request that once could not is treated as late from then on.
+func (p *Place) Note(now time.Time, expected time.Duration) {
+	p.late = p.late || now.Add(expected).After(p.target)
 }
 
-// Late tells whether the answer comes too late to be worth much.
+// Late reports whether the request can no longer meet its target deadline.
 func (p *Place) Late() bool { return p.late }
 
-// Limit is when the answer has to come for a wait to be of use.
+// Limit returns the latest time for an answer that makes waiting worthwhile: the target
+// deadline or, if that cannot be met, the deadline.
 func (p *Place) Limit() time.Time {
 	if p.late {
 		return p.deadline
 	}
-	return p.aim
+	return p.target
 }
 
-// Compare orders places. What can be in time goes before what cannot: a queue in
-// which everybody waits for his turn makes all late while a service is short, though
-// as many could be in time as there is room for. Within both, urgent requests go first,
-// and those that waited catch up: each step of priority is worth priorityStep of
-// waiting, so that none starves. Among equals the one with the least time goes first.
+// Compare orders queue keys. Requests that can meet their target deadline go before those that
+// cannot: in order of arrival all requests would miss theirs while a service is saturated,
+// although the capacity would be enough for some. Within both groups, higher priorities go
+// first, but each step of priority is worth only priorityStep of waiting, so that no request
+// starves. Ties are broken by the earliest deadline.
 func (p *Place) Compare(o *Place) int {
 	if p.late != o.late {
 		if o.late {
@@ -51,5 +52,5 @@
 		}
 		return 1
 	}
-	return cmp.Or(p.come.Compare(o.come), p.deadline.Compare(o.deadline))
+	return cmp.Or(p.virtualArrival.Compare(o.virtualArrival), p.deadline.Compare(o.deadline))
 }
--- /dev/null
+++ b/overload/retryafter.go
@@ -0,0 +1,24 @@
+package overload
+
+import "time"
+
+const (
+	// minRetryAfter is the shortest retry-after of a refused caller: some round trips, and less
+	// than most answers take.
+	minRetryAfter = 100 * time.Millisecond
+	// maxRetryAfter bounds the retry-after: estimates of a gate become out of date within
+	// seconds.
+	maxRetryAfter = 2 * time.Second
+	// retryAfterStep is added for each step of lower priority, so that requests of higher
+	// priority find free capacity first.
+	retryAfterStep = 50 * time.Millisecond
+)
+
+// ComeBack returns the retry-after of a refused caller. The parameter wait is the shortest wait
+// that a refusing gate estimated, 0 if none did. The parameter spread is a random number evenly
+// distributed over [0, 1): it spreads callers that were refused together over up to twice the
+// retry-after.
+func (t Terms) ComeBack(wait time.Duration, spread float64) time.Duration {
+	shortest := max(wait, minRetryAfter) + time.Duration(t.retryRank)*retryAfterStep
+	return min(shortest+time.Duration(spread*float64(shortest)), maxRetryAfter)
+}
--- a/overload/terms.go
+++ b/overload/terms.go
@@ -3,90 +3,92 @@
 import "time"
 
 const (
-	// waitShare of the time until the aim is how long a request is kept that no gate
-	// takes: a caller that comes back may find another node that can.
-	waitShare = 0.2
-	waitLeast = 40 * time.Millisecond
-	// waitRanShare is the same for one that ran already and failed: its caller cannot
-	// be told that it did not run.
-	waitRanShare = 1.0
+	// keepShare is the part of the time until its target deadline for which a request that no
+	// gate takes is kept: after a refusal, its caller may find another node that can serve it.
+	keepShare = 0.2
+	// minKeepTime is the shortest time a request is kept: a few round trips.
+	minKeepTime = 40 * time.Millisecond
+	// keepShareAfterRun is the same for a request that has run and failed: its caller cannot be
+	// told that it did not run.
+	keepShareAfterRun = 1.0
 )
 
-// Parent is a request that an upstream works on, as far as its calls need to know it.
+// Parent holds the requirements of a request that an upstream works on, for its nested
+// requests.
 type Parent struct {
 	Priority int
-	Aim      time.Time // When its answer loses most of its worth.
+	Aim      time.Time // Target deadline.
 	Deadline time.Time
 	Repeat   bool // Its run repeats another.
 }
 
-// Terms are what a request has to wait with: its urgency, when its answer loses most
-// of its worth and when all of it.
+// Terms holds the requirements of a request: its priority, its target deadline, after which an
+// answer loses most of its value, and its deadline.
 type Terms struct {
-	priority int
-	backRank int // How many steps later its caller comes back than the most urgent one.
-	arrived  time.Time
-	aim      time.Time
-	deadline time.Time
-	call     bool
+	priority  int
+	retryRank int // Steps of lower priority that lengthen its retry-after.
+	arrived   time.Time
+	target    time.Time
+	deadline  time.Time
+	nested    bool
 }
 
-// NewTerms returns the terms of a request that arrived then, on a route with a priority
-// (0 goes first) and a target; without a target the deadline takes its place.
+// NewTerms returns the requirements of a request by its arrival, its route's priority (0 goes
+// first) and target, and its deadline. Without a target, the target deadline is the deadline.
 func NewTerms(priority int, arrived time.Time, target time.Duration, deadline time.Time) Terms {
 	if target <= 0 {
 		target = deadline.Sub(arrived)
 	}
-	return Terms{priority: priority, backRank: priority, arrived: arrived, aim: arrived.Add(target), deadline: deadline}
+	return Terms{priority: priority, retryRank: priority, arrived: arrived, target: arrived.Add(target), deadline: deadline}
 }
 
-// ForAccount returns the terms of the same request by its client account's word as well: it
-// goes first by that. When its caller comes back still goes by the route alone: all callers
-// of a less urgent account would else come back too late for a short aim.
+// ForAccount returns the same requirements with the priority that the client account sets. The
+// retry-after still depends on the route alone: otherwise callers of a low-priority account
+// would retry too late for a short target.
 func (t Terms) ForAccount(priority int) Terms {
 	t.priority = priority
 	return t
 }
 
-// ForCall returns the terms of the same request as a call of a parent. It is as urgent
-// as its parent if that is more, its answer is in time as long as the parent's can be,
-// and it is of no use after the parent's deadline.
+// ForCall returns the same requirements for a nested request of the given parent. It gets the
+// higher priority, the later target deadline and the earlier deadline of the two. The target
+// deadline is at most the deadline.
 func (t Terms) ForCall(p Parent) Terms {
-	t.call = true
+	t.nested = true
 	t.priority = min(t.priority, p.Priority)
-	t.backRank = min(t.backRank, p.Priority)
+	t.retryRank = min(t.retryRank, p.Priority)
 	if p.Deadline.Before(t.deadline) {
 		t.deadline = p.Deadline
 	}
-	if p.Aim.After(t.aim) {
-		t.aim = p.Aim
+	if p.Aim.After(t.target) {
+		t.target = p.Aim
 	}
-	if t.aim.After(t.deadline) {
-		t.aim = t.deadline
+	if t.target.After(t.deadline) {
+		t.target = t.deadline
 	}
 	return t
 }
 
-// Priority returns the urgency; 0 goes first.
+// Priority returns the priority; 0 goes first.
 func (t Terms) Priority() int { return t.priority }
 
-// Aim returns when the answer loses most of its worth.
-func (t Terms) Aim() time.Time { return t.aim }
+// Aim returns the target deadline.
+func (t Terms) Aim() time.Time { return t.target }
 
-// Deadline returns when the answer is of no use any more.
+// Deadline returns the time after which an answer is of no use.
 func (t Terms) Deadline() time.Time { return t.deadline }
 
-// KeptUntil returns until when the request is kept while no gate takes it, given whether
-// it has run, and whether the upstream that makes a call has no free slot. A call that is
-// turned away takes the work of its parent with it, so it waits while that is in nobody's
-// way.
+// KeptUntil returns until when the request is kept while no gate takes it. The parameter ran
+// tells whether it has run, and crowded whether the upstream that makes a nested request has no
+// free slot. Refusing a nested request wastes the work on its parent, so it is kept until its
+// target deadline while that blocks no other requests.
 func (t Terms) KeptUntil(ran, crowded bool) time.Time {
-	if t.call && !crowded {
-		return t.aim
+	if t.nested && !crowded {
+		return t.target
 	}
-	share := waitShare
+	share := keepShare
 	if ran {
-		share = waitRanShare
+		share = keepShareAfterRun
 	}
-	return t.arrived.Add(max(time.Duration(share*float64(t.aim.Sub(t.arrived))), waitLeast))
+	return t.arrived.Add(max(time.Duration(share*float64(t.target.Sub(t.arrived))), minKeepTime))
 }
