--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -2,51 +2,52 @@
 
 import "time"
 
-// Limit is what an account may send, over all nodes.
+// Limit is the request limit of a client account, over all nodes of the fleet.
 type Limit struct {
-	Rate  float64 // Requests a second.
-	Burst float64 // Requests above that which may come at once.
+	Rate  float64 // Requests per second.
+	Burst float64 // Requests that may arrive at once on top of Rate.
 }
 
-// Bounds are what the operators grant above every limit.
+// Bounds is the tolerance that the operators grant above every limit.
 type Bounds struct {
-	Window time.Duration // Over which requests are counted.
-	Over   float64       // Part of a window's requests.
-	Slack  float64       // Requests in a window.
+	Window time.Duration // Period over which requests are counted.
+	Over   float64       // Fraction of a window's requests.
+	Slack  float64       // Requests per window.
 }
 
-// tolerance is how many requests in a window may exceed a limit.
+// tolerance returns how many requests per window may exceed a limit.
 func (b Bounds) tolerance(l Limit) float64 {
 	return b.Over*(l.Rate*b.Window.Seconds()+l.Burst) + b.Slack
 }
 
-// toleranceShare is the part of the tolerance that each use has which can be counted
-// beforehand. Most is left for what cannot: what two homes give while one is taken for
-// gone, until each knows which nodes it does not reach.
+// toleranceShare is the fraction of the tolerance assigned to each use that can be computed
+// in advance. Most of it is left for what cannot be computed: the tokens that two homes
+// grant while one is wrongly considered gone, until each has found out which nodes it does
+// not reach.
 const toleranceShare = 1.0 / 12
 
-// depth is how many tokens an account's bucket holds.
+// depth returns the capacity of an account's bucket in tokens.
 func (b Bounds) depth(l Limit) float64 {
 	return max(l.Burst+toleranceShare*b.tolerance(l), 1)
 }
 
-// bucket holds tokens, or owes them.
+// bucket is a token bucket. Its level is negative while tokens are owed.
 type bucket struct {
-	rate  float64 // Tokens a second.
-	depth float64
-	level float64
-	at    time.Time // Of level.
+	rate      float64 // Tokens per second.
+	depth     float64
+	level     float64
+	updatedAt time.Time // Time at which level was computed.
 }
 
-// moveTo lets the bucket fill until now.
-func (b *bucket) moveTo(now time.Time) {
-	if passed := now.Sub(b.at).Seconds(); passed > 0 {
-		b.level = min(b.level+passed*b.rate, b.depth)
-		b.at = now
+// refill adds the tokens that have accrued until now.
+func (b *bucket) refill(now time.Time) {
+	if elapsed := now.Sub(b.updatedAt).Seconds(); elapsed > 0 {
+		b.level = min(b.level+elapsed*b.rate, b.depth)
+		b.updatedAt = now
 	}
 }
 
-// take takes a token and reports whether there was one.
+// take removes one token and reports whether there was one.
 func (b *bucket) take() bool {
 	if b.level < 1 {
 		return false
@@ -55,14 +56,14 @@
 	return true
 }
 
-// charge takes tokens that are spent already, or gives some back. What is owed is at
-// most a full bucket: an account that was let run too far does not wait for ever.
+// charge removes tokens that are already spent, or adds some if tokens is negative. The debt
+// is at most a full bucket, which bounds how long an account waits after an overrun.
 func (b *bucket) charge(tokens float64) {
 	b.level = min(max(b.level-tokens, -b.depth), b.depth)
 }
 
-// next is how long it takes until there is a token.
-func (b *bucket) next() time.Duration {
+// untilNext returns how long it takes until a token is available.
+func (b *bucket) untilNext() time.Duration {
 	if b.level >= 1 {
 		return 0
 	}
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,38 +1,37 @@
-// Package quota keeps client accounts within their limits over a whole fleet of nodes.
-// It knows no connections, no clocks and no messages of the wire: a node drives its
-// machines with what it hears and does what they return.
-//
-// The bound: over any window, the requests of an account that all nodes together admit
-// are at most rate x window + burst, and a tolerance above that the operators grant.
-//
-// How it is kept. Every account has a home among the nodes (Homes), the same for all that
-// know the same nodes, where its tokens are (Home): a token bucket that fills at the rate
-// and holds the burst. A node that takes a request asks the home for a token (Spender).
-// A request that has not run gives its token back.
-//
-// A home behind a cut is asked through another node; one that nobody reaches is stood in
-// for by the next. A home tells those that may stand in for it that it is there (Claim,
-// Homes.Successors), and one that has stood in tells the home that is back what it gave
-// (Resigned). A node that reaches nobody has half of its own part of the rate, which
-// homes leave to those that they do not reach (Home.SetShare).
-//
-// What the tolerance pays for:
-//
-//   - a deeper bucket, so that chance alone does not empty it at ordinary use;
-//   - the tokens that a home starts with which does not know what another gave out;
-//   - what nodes admit that have just lost their home;
-//   - the time until a home and those that it does not reach know of each other.
-//
-// The loads that it answers: an account that sends many times its usual for seconds, over
-// all nodes or one; many small accounts, each of which a node sees once in some seconds,
-// so that no part of a limit can be given to a node beforehand; a fleet of which a third
-// is cut off, restarted or killed while an account is hot.
-//
-// The bucket is the token bucket of traffic shaping; that one node keeps it and others
-// ask is what global rate limiters of the field do, here with the home chosen by
-// rendezvous hashing, found again by SWIM's indirect probes, and without anything stored.
-// Tokens are not lent ahead: what a dozen nodes would hold of a small account is more than
-// its tolerance.
+// Package quota keeps client accounts within their request limits over a whole fleet of
+// nodes. It has no connections, no clock and no wire messages: a node passes its inputs to
+// Home, Homes and Spender, and carries out the commands that they return.
+//
+// The bound: over any window, the requests of an account that all nodes together admit are
+// at most rate x window + burst, plus a tolerance that the operators grant.
+//
+// Mechanism: every account has a home among the nodes (Homes), the same for all nodes that
+// know the same fleet. The home holds the account's tokens (Home) in a bucket that fills at
+// the rate and holds the burst. A node that receives a request asks the home for a token
+// (Spender). A request that has not run returns its token.
+//
+// A home behind a network cut is asked through another node; if no node reaches it, the next
+// in rank acts as home. A home notifies its possible successors that it is reachable (Claim,
+// Homes.Successors), and an acting home reports to a returned home what it granted
+// (Resigned). A node that reaches no other uses half of its own share of the rate, which
+// homes leave to the nodes that they do not reach (Home.SetShare).
+//
+// The tolerance covers:
+//
+//   - a deeper bucket, so that random arrivals at an ordinary rate do not empty it;
+//   - the initial tokens of a home that does not know what another home granted;
+//   - the requests that nodes admit just after they lost their home;
+//   - the time until a home and the nodes that it does not reach have noticed the cut.
+//
+// The design covers these loads: an account that sends many times its ordinary rate for
+// seconds, through all nodes or one; many small accounts, each seen by a node once in some
+// seconds, so that no share of a limit can be assigned to a node in advance; a fleet of which
+// a third is cut off, restarted or killed while an account is at its limit.
+//
+// The bucket is the token bucket of traffic shaping. One node holds it and the others ask
+// that node, as in other global rate limiters; here the home is chosen by rendezvous hashing
+// and located with SWIM's indirect probes, and nothing is stored. Tokens are not handed out
+// in advance: what a dozen nodes would hold of a small account exceeds its tolerance.
 //
 // # Usage
 //
@@ -41,7 +40,7 @@
 //	for _, c := range spender.Update(quota.Wanted{At: now, Number: 1, Account: "office", Limit: limit, Home: place.Way}) {
 //		switch c := c.(type) {
 //		case quota.Admit: // The request may run.
-//		case quota.Ask: // The node named is to be asked, as quota.Asked.
+//		case quota.Ask: // Send the node c.To a quota.Asked.
 //		}
 //	}
 package quota
--- a/quota/home.go
+++ b/quota/home.go
@@ -8,168 +8,168 @@
 )
 
 const (
-	// shortShare of a bucket is what an account runs low at.
-	shortShare = 0.5
-	// backMost bounds what a refused caller is told to wait.
-	backMost = 2 * time.Second
-	// idleTime is how long the tokens of an account are kept that nobody asks for.
+	// lowShare is the fraction of a bucket below which an account is low on tokens.
+	lowShare = 0.5
+	// maxRetryAfter bounds the retry-after of a refused request.
+	maxRetryAfter = 2 * time.Second
+	// idleTime is how long the bucket of an unused account is kept.
 	idleTime = time.Minute
-	// actingTime is how long a node that stands in for a home may go without being asked
-	// and still know what was given out since.
-	actingTime = 1 * time.Second
-	// claimEvery is the pace at which nodes are told that may stand in: a message of some 80
-	// bytes for each account that is in use. While nodes come and go one may stand in that
-	// has not heard of this home; until it has, the account has two.
-	claimEvery     = 1 * time.Second
-	claimUnsettled = 250 * time.Millisecond
-	// overEvery is the pace at which it is said that an account is over its limit.
-	overEvery = 1 * time.Second
+	// maxActingGap is how long an acting home may go without requests and still rely on its
+	// count of the tokens granted since.
+	maxActingGap = 1 * time.Second
+	// claimInterval is the interval between claims to the successors: a message of some 80
+	// bytes for each account in use. While nodes join and leave, a node that has not yet
+	// received a claim may act as home; until it receives one, the account has two homes.
+	claimInterval          = 1 * time.Second
+	claimIntervalUncertain = 250 * time.Millisecond
+	// overInterval is the minimum interval between two reports that an account is over its limit.
+	overInterval = 1 * time.Second
 )
 
-// ledger is an account's tokens.
-type ledger struct {
+// accountBucket is an account's token bucket and what its home tracks beside it.
+type accountBucket struct {
 	bucket
-	limit   Limit
-	acting  bool      // This node stands in for the account's home.
-	given   float64   // Tokens that a bucket which was full at the beginning would lack.
-	backAt  time.Time // When the refused caller is to come back who comes last.
-	used    time.Time // When it was last asked for.
-	refused int       // Requests refused since it was last said that it is over its limit.
-	said    time.Time
-	claimed time.Time // When the node that ranks next was last told of this one.
+	limit     Limit
+	acting    bool      // This node acts as home in place of the account's own.
+	deficit   float64   // Tokens missing from a bucket that was full at first; reported on handover.
+	retryAt   time.Time // Latest retry time given to a refused request.
+	lastUsed  time.Time // Time of the last message about the account.
+	refused   int       // Requests refused since the last Over command.
+	lastOver  time.Time
+	lastClaim time.Time // Time of the last claim to the successors.
 }
 
-// moveTo lets the bucket fill until now.
-func (l *ledger) moveTo(now time.Time) {
-	if passed := now.Sub(l.at).Seconds(); passed > 0 {
-		l.given = max(l.given-passed*l.rate, 0)
+// refill adds the tokens that have accrued until now.
+func (a *accountBucket) refill(now time.Time) {
+	if elapsed := now.Sub(a.updatedAt).Seconds(); elapsed > 0 {
+		a.deficit = max(a.deficit-elapsed*a.rate, 0)
 	}
-	l.bucket.moveTo(now)
+	a.bucket.refill(now)
 }
 
-// take takes a token and reports whether there was one.
-func (l *ledger) take() bool {
-	if !l.bucket.take() {
+// take removes one token and reports whether there was one.
+func (a *accountBucket) take() bool {
+	if !a.bucket.take() {
 		return false
 	}
-	l.given++
+	a.deficit++
 	return true
 }
 
-// charge takes tokens that are spent already, or gives some back.
-func (l *ledger) charge(tokens float64) {
-	l.given = max(l.given+tokens, 0)
-	l.bucket.charge(tokens)
+// charge removes tokens that are already spent, or adds some if tokens is negative.
+func (a *accountBucket) charge(tokens float64) {
+	a.deficit = max(a.deficit+tokens, 0)
+	a.bucket.charge(tokens)
 }
 
 // Home holds the tokens of the accounts whose home is this node. It is not safe for
 // concurrent use.
 type Home struct {
-	bounds   Bounds
-	share    float64 // Of the fleet that this node reaches.
-	accounts map[string]*ledger
-	swept    time.Time
-	short    time.Time // Until when an account counts as short.
-	settled  time.Time // When no other home of this node's accounts can matter any more.
+	bounds         Bounds
+	share          float64 // Fraction of the fleet that this node reaches.
+	accounts       map[string]*accountBucket
+	lastSweep      time.Time
+	lowUntil       time.Time // Time until which Short reports true.
+	uncertainUntil time.Time // Until then, another home may still have granted tokens within the window.
 }
 
 // NewHome returns a home without accounts.
 func NewHome(b Bounds) *Home {
-	return &Home{bounds: b, share: 1, accounts: map[string]*ledger{}}
+	return &Home{bounds: b, share: 1, accounts: map[string]*accountBucket{}}
 }
 
-// Unsettle says that this process began now, or that other nodes came or went: accounts
-// that it is not the home of yet may have had another one until now.
-func (h *Home) Unsettle(now time.Time) { h.settled = now.Add(h.bounds.Window) }
+// Unsettle records that this process started now, or that other nodes joined or left: an
+// account without a bucket here may have had another home until now.
+func (h *Home) Unsettle(now time.Time) { h.uncertainUntil = now.Add(h.bounds.Window) }
 
-// SetBounds changes what is granted above limits.
+// SetBounds changes the tolerance granted above limits.
 func (h *Home) SetBounds(b Bounds) { h.bounds = b }
 
-// SetShare says which part of the fleet is reached. The rest may admit its own part of
-// every limit, and the home leaves it that.
+// SetShare sets the fraction of the fleet that this node reaches. The rest may admit its own
+// share of every limit, so the home reduces its rate by that share.
 func (h *Home) SetShare(share float64) { h.share = share }
 
-// Update takes a message and returns what is to be done.
+// Update handles a message and returns the commands that follow from it.
 func (h *Home) Update(m Message) []Command {
 	h.sweep(m.at())
 	switch m := m.(type) {
 	case Asked:
 		return h.asked(m)
 	case Reported:
-		h.ledger(m.At, m.Account, m.Limit, m.Acting).charge(float64(m.Count))
+		h.bucketOf(m.At, m.Account, m.Limit, m.Acting).charge(float64(m.Count))
 	case Resigned:
 		return h.resigned(m)
 	}
 	return nil
 }
 
-// ledger returns an account's tokens as they are now. Of an account that is new here, or
-// that this node has stood in for some time ago, another home may have given out a bucket
-// just before.
-func (h *Home) ledger(now time.Time, account string, limit Limit, acting bool) *ledger {
-	l := h.accounts[account]
-	begins := l == nil
-	if begins {
-		l = &ledger{bucket: bucket{at: now}}
-		h.accounts[account] = l
+// bucketOf returns an account's bucket, refilled until now. If the account is new here, or
+// this node last acted as its home some time ago, another home may just have granted a full
+// bucket: it then starts with a share of the tolerance only.
+func (h *Home) bucketOf(now time.Time, account string, limit Limit, acting bool) *accountBucket {
+	a := h.accounts[account]
+	created := a == nil
+	if created {
+		a = &accountBucket{bucket: bucket{updatedAt: now}}
+		h.accounts[account] = a
 	}
-	l.limit = limit
-	l.acting = acting
-	l.moveTo(now)
+	a.limit = limit
+	a.acting = acting
+	a.refill(now)
 	switch {
-	case begins && !acting && !now.Before(h.settled):
-		l.level = h.bounds.depth(limit)
-	case begins, acting && now.Sub(l.used) > actingTime:
-		l.level = min(max(toleranceShare*h.bounds.tolerance(limit), 1), h.bounds.depth(limit))
+	case created && !acting && !now.Before(h.uncertainUntil):
+		a.level = h.bounds.depth(limit)
+	case created, acting && now.Sub(a.lastUsed) > maxActingGap:
+		a.level = min(max(toleranceShare*h.bounds.tolerance(limit), 1), h.bounds.depth(limit))
 	}
-	l.rate = limit.Rate * h.share
-	l.depth = h.bounds.depth(limit)
-	l.level = min(l.level, l.depth)
-	l.used = now
-	return l
+	a.rate = limit.Rate * h.share
+	a.depth = h.bounds.depth(limit)
+	a.level = min(a.level, a.depth)
+	a.lastUsed = now
+	return a
 }
 
-// asked gives a token, or says when there is one.
+// asked grants a token, or returns after which time to retry.
 func (h *Home) asked(m Asked) []Command {
-	l := h.ledger(m.At, m.Account, m.Limit, m.Acting)
-	l.charge(float64(m.Spent))
-	out := h.claims(l, m.At, m.Account)
-	answer := Answer{To: m.From, Number: m.Number, Granted: l.take()}
+	a := h.bucketOf(m.At, m.Account, m.Limit, m.Acting)
+	a.charge(float64(m.Spent))
+	out := h.claimIfDue(a, m.At, m.Account)
+	answer := Answer{To: m.From, Number: m.Number, Granted: a.take()}
 	if !answer.Granted {
-		answer.After = l.comeBack(m.At)
+		answer.After = a.retryAfter(m.At)
 	}
-	if l.level < shortShare*l.depth {
-		h.short = m.At.Add(h.bounds.Window)
+	if a.level < lowShare*a.depth {
+		h.lowUntil = m.At.Add(h.bounds.Window)
 	}
 	out = append(out, answer)
 	if answer.Granted {
 		return out
 	}
-	return append(out, l.over(m.At, m.Account)...)
+	return append(out, a.reportOver(m.At, m.Account)...)
 }
 
-// resigned tells the home how many tokens were given in its place, and forgets the account. A
-// home that is back from a cut has its whole bucket, and would give a burst for the second
-// time: one of 100,000 schedules of the model went over a limit so.
+// resigned reports to the account's home how many tokens were granted in its place, and
+// forgets the account. A home that returns from a network cut has a full bucket, and without
+// the report would grant its burst a second time.
 func (h *Home) resigned(m Resigned) []Command {
-	l := h.accounts[m.Account]
-	if l == nil || !l.acting {
+	a := h.accounts[m.Account]
+	if a == nil || !a.acting {
 		return nil
 	}
 	delete(h.accounts, m.Account)
-	l.moveTo(m.At)
-	given := int(min(l.given, l.depth))
-	if given == 0 {
+	a.refill(m.At)
+	deficit := int(min(a.deficit, a.depth))
+	if deficit == 0 {
 		return nil
 	}
-	return []Command{Report{To: m.To, Account: m.Account, Count: given}}
+	return []Command{Report{To: m.To, Account: m.Account, Count: deficit}}
 }
 
-// StoodIn returns the accounts for which this node has stood in for their homes.
+// StoodIn returns the accounts for which this node acts as home, in order of their names.
 func (h *Home) StoodIn() []string {
 	var out []string
-	for name, l := range h.accounts {
-		if l.acting {
+	for name, a := range h.accounts {
+		if a.acting {
 			out = append(out, name)
 		}
 	}
@@ -177,86 +177,84 @@
 	return out
 }
 
-// claims tells the nodes that may have stood in for this one, at once and then again from
-// time to time, since they may have been away: until they know, the account would have two
-// homes.
-func (h *Home) claims(l *ledger, now time.Time, account string) []Command {
-	pace := claimEvery
-	if now.Before(h.settled) {
-		pace = claimUnsettled
+// claimIfDue sends a claim to the successors, at first immediately and then at intervals, as
+// they may have been unreachable: until they receive it, the account may have two homes.
+func (h *Home) claimIfDue(a *accountBucket, now time.Time, account string) []Command {
+	interval := claimInterval
+	if now.Before(h.uncertainUntil) {
+		interval = claimIntervalUncertain
 	}
-	if now.Before(l.claimed.Add(pace)) {
+	if now.Before(a.lastClaim.Add(interval)) {
 		return nil
 	}
-	l.claimed = now
+	a.lastClaim = now
 	return []Command{Claim{Account: account}}
 }
 
-// over says that the account is over its limit, if it is time to.
-func (l *ledger) over(now time.Time, account string) []Command {
-	l.refused++
-	if now.Before(l.said.Add(overEvery)) {
+// reportOver reports that the account is over its limit, at most once per overInterval.
+func (a *accountBucket) reportOver(now time.Time, account string) []Command {
+	a.refused++
+	if now.Before(a.lastOver.Add(overInterval)) {
 		return nil
 	}
-	o := Over{Use: l.use(account), Refused: l.refused}
-	l.said = now
-	l.refused = 0
+	o := Over{Use: a.use(account), Refused: a.refused}
+	a.lastOver = now
+	a.refused = 0
 	return []Command{o}
 }
 
-func (l *ledger) use(account string) Use {
-	return Use{Account: account, Limit: l.limit, Left: l.level, Depth: l.depth}
+func (a *accountBucket) use(account string) Use {
+	return Use{Account: account, Limit: a.limit, Left: a.level, Depth: a.depth}
 }
 
-// comeBack says when a refused caller finds a token, if all that were refused before it
-// come back when they were told to.
-func (l *ledger) comeBack(now time.Time) time.Duration {
-	first := now.Add(l.next())
-	if l.backAt.Before(first) {
-		l.backAt = first
+// retryAfter returns when a refused request would find a token, provided that all requests
+// refused before it retry at the times they were given.
+func (a *accountBucket) retryAfter(now time.Time) time.Duration {
+	first := now.Add(a.untilNext())
+	if a.retryAt.Before(first) {
+		a.retryAt = first
 	}
-	after := l.backAt.Sub(now)
-	if after < backMost {
-		l.backAt = l.backAt.Add(time.Duration(float64(time.Second) / l.rate))
+	after := a.retryAt.Sub(now)
+	if after < maxRetryAfter {
+		a.retryAt = a.retryAt.Add(time.Duration(float64(time.Second) / a.rate))
 	}
-	return min(after, backMost)
+	return min(after, maxRetryAfter)
 }
 
-// sweep forgets accounts that nobody has asked for lately: their buckets are full.
+// sweep removes accounts that have been unused for long enough that their buckets are full.
 func (h *Home) sweep(now time.Time) {
-	if now.Before(h.swept.Add(idleTime)) {
+	if now.Before(h.lastSweep.Add(idleTime)) {
 		return
 	}
-	h.swept = now
-	maps.DeleteFunc(h.accounts, func(_ string, l *ledger) bool { return now.Sub(l.used) > idleTime })
+	h.lastSweep = now
+	maps.DeleteFunc(h.accounts, func(_ string, a *accountBucket) bool { return now.Sub(a.lastUsed) > idleTime })
 }
 
-// Short tells whether an account whose home this node is has run low on tokens within
-// the last window. Then it matters which part of the fleet is reached, and has to be
-// found out.
-func (h *Home) Short(now time.Time) bool { return now.Before(h.short) }
+// Short reports whether an account whose home is this node has run low on tokens within the
+// last window. The fraction of the fleet that is reached then has to be determined.
+func (h *Home) Short(now time.Time) bool { return now.Before(h.lowUntil) }
 
-// Idle tells whether this node is the home of no account that was asked for lately.
+// Idle reports whether this node is the home of no recently used account.
 func (h *Home) Idle() bool { return len(h.accounts) == 0 }
 
-// Use is an account's use as its home sees it.
+// Use is the current use of an account's limit, according to its home.
 type Use struct {
 	Account string
 	Limit   Limit
 	Left    float64 // Tokens left.
-	Depth   float64 // Tokens that it has at most.
+	Depth   float64 // Capacity of the bucket in tokens.
 }
 
-// Uses returns the accounts whose home this node is, those that are used most first, at
-// most so many.
-func (h *Home) Uses(now time.Time, most int) []Use {
+// Uses returns at most limit accounts whose home is this node, those with the smallest
+// fraction of tokens left first.
+func (h *Home) Uses(now time.Time, limit int) []Use {
 	var out []Use
-	for name, l := range h.accounts {
-		l.moveTo(now)
-		out = append(out, l.use(name))
+	for name, a := range h.accounts {
+		a.refill(now)
+		out = append(out, a.use(name))
 	}
 	slices.SortFunc(out, func(a, b Use) int {
 		return cmp.Or(cmp.Compare(a.Left/a.Depth, b.Left/b.Depth), cmp.Compare(a.Account, b.Account))
 	})
-	return out[:min(len(out), most)]
+	return out[:min(len(out), limit)]
 }
--- a/quota/homes.go
+++ b/quota/homes.go
@@ -6,232 +6,231 @@
 )
 
 const (
-	// probeAgain is how long the word of others on whether they reach a node counts.
-	probeAgain = 2 * time.Second
-	// pingAgain is the pace at which a node in doubt is asked for a sign of life: while it
-	// is believed to be gone and is not, its tokens and those of who stands in for it are
-	// both given.
-	pingAgain = 200 * time.Millisecond
-	// claimTime is how long a node's own word counts that it is there: links are made again
-	// within a second.
-	claimTime = 1 * time.Second
-	// mostSuccessors bounds how many nodes are told that another one is an account's home. With a
-	// third of the fleet away the first four are away together once in 81 times.
-	mostSuccessors = 4
-	// lifeTime is how long a reply shows that a node is there: as long as links are idle
-	// between two claims.
-	lifeTime = claimEvery + claimUnsettled
-	// replyTime is how long a reply to a ping may take: many round trips.
-	replyTime = 100 * time.Millisecond
-	// aloneAgain is the pause before a node asks again that nobody has answered.
-	aloneAgain = 250 * time.Millisecond
+	// probeInterval is how long the result of a probe through other nodes is used.
+	probeInterval = 2 * time.Second
+	// pingInterval is the interval between pings to a suspected node. While a reachable node is
+	// considered gone, both its tokens and those of its acting home are granted.
+	pingInterval = 200 * time.Millisecond
+	// claimValidity is how long a claim shows that its sender is reachable: links are
+	// re-established within a second.
+	claimValidity = 1 * time.Second
+	// maxSuccessors bounds how many successors receive the claim of an account's home. With a
+	// third of the fleet unreachable, the first four are all unreachable once in 81 cases.
+	maxSuccessors = 4
+	// replyValidity is how long a ping reply shows that a node is reachable: as long as links
+	// may be idle between two claims.
+	replyValidity = claimInterval + claimIntervalUncertain
+	// replyTimeout is how long a reply to a ping may take: many round trips.
+	replyTimeout = 100 * time.Millisecond
+	// isolatedRetry is the pause before the next probe when no node answered the last one.
+	isolatedRetry = 250 * time.Millisecond
 )
 
-// Fleet is what Homes needs of the other nodes. Nodes are named by their addresses.
+// Fleet provides Homes with the state of the other nodes, which are named by their addresses.
 type Fleet interface {
-	// Self returns this node.
+	// Self returns this node's address.
 	Self() string
-	// Changed returns a number that changes with the nodes that are known or linked.
+	// Changed returns a number that changes whenever the known or linked nodes change.
 	Changed() uint64
-	// First returns the node that ranks first for an account, leaving some out. It is the
-	// same wherever the same nodes are known.
-	First(account string, without map[string]bool) string
-	// Known tells whether a node is still known.
+	// First returns the node that ranks first for an account, apart from the excluded ones.
+	// Nodes that know the same fleet get the same result.
+	First(account string, excluded map[string]bool) string
+	// Known reports whether a node is still part of the known fleet.
 	Known(node string) bool
-	// Linked tells whether there is a link to a node, and when it last answered a ping.
+	// Linked reports whether there is a link to a node, and when it last answered a ping.
 	Linked(node string) (bool, time.Time)
-	// Dial begins to make a link to a node, and reports whether none was being made.
+	// Dial starts to establish a link to a node, and reports whether no attempt was under way.
 	Dial(node string) bool
-	// Ping asks a node for a sign of life.
+	// Ping sends a ping to a node.
 	Ping(node string)
-	// Probe asks others whether they reach a node.
-	// They answer by Homes.Reached; once they had time to, Homes.ProbeEnded is called.
+	// Probe asks other nodes whether they reach a node. Their answers arrive by Homes.Reached;
+	// Homes.ProbeEnded is called when their time is up.
 	Probe(node string)
 }
 
-// Place is where an account's tokens are, and how they are reached.
+// Place is the home of an account and the way to reach it.
 type Place struct {
 	Home    string // "" if this node is cut off from all others.
-	Way     string // The node to ask: the home itself, or one that reaches it.
-	Pending bool   // It is not known yet how the home is reached.
-	Acting  bool   // The home stands in for one that is gone.
+	Way     string // Node to send to: the home itself, or one that reaches it.
+	Pending bool   // It is not yet determined how the home is reached.
+	Acting  bool   // The home acts in place of one that is gone.
 }
 
-// doubt is a node that did not answer, or to which there is no link.
-type doubt struct {
-	since   time.Time
-	until   time.Time // When others are asked again.
-	pinged  time.Time // When it was last asked for a sign of life.
-	via     string    // A node that reaches it.
-	gone    bool      // Nobody that was asked reaches it.
-	alone   bool      // Nobody that was asked answered.
-	probing bool
-	heard   int       // How many of those that were asked have answered.
-	claimed time.Time // Until when its own word counts that it is there.
+// suspect is the state of a node that did not answer, or to which there is no link.
+type suspect struct {
+	since        time.Time
+	probeAt      time.Time // Time of the next probe through other nodes.
+	pingedAt     time.Time // Time of the last ping.
+	via          string    // Node that reaches it; "" if there is none.
+	gone         bool      // None of the nodes that answered the probe reaches it.
+	isolated     bool      // No node answered the probe: this node itself may be cut off.
+	probing      bool
+	answers      int       // Number of nodes that have answered the probe.
+	claimedUntil time.Time // Until then, its last claim shows that it is reachable.
 }
 
-// Homes finds the home of each account: the node that ranks first for it, on which all
-// agree that know the same nodes; when one goes only its accounts move. A home that does
-// not answer is probed for through others, as SWIM does: an account whose home is behind
-// a cut keeps it, reached through somebody else. With two homes it would have twice its
-// limit, so only a home that nobody reaches is taken for gone.
+// Homes finds the home of each account: the node that ranks first for it, on which all nodes
+// agree that know the same fleet. When a node goes, only its accounts move. A home that does
+// not answer is probed through other nodes, as in SWIM: an account whose home is behind a
+// network cut keeps it, and the home is reached through another node. With two homes an
+// account would have twice its limit, so only a home that no node reaches is considered gone.
 type Homes struct {
-	fleet  Fleet
-	at     uint64           // Of the fleet's changes, when found was begun.
-	found  map[string]Place // By account.
-	doubts map[string]*doubt
-	asked  map[string]time.Time // When Successors last asked a node for a sign of life.
+	fleet          Fleet
+	changed        uint64           // Value of Fleet.Changed for which places is valid.
+	places         map[string]Place // Cache of search results by account.
+	suspects       map[string]*suspect
+	successorPings map[string]time.Time // Time of the last ping that Successors sent to a node.
 }
 
-// NewHomes returns homes among the nodes of a fleet.
+// NewHomes returns a Homes for the nodes of a fleet.
 func NewHomes(f Fleet) *Homes {
-	return &Homes{fleet: f, found: map[string]Place{}, doubts: map[string]*doubt{}, asked: map[string]time.Time{}}
+	return &Homes{fleet: f, places: map[string]Place{}, suspects: map[string]*suspect{}, successorPings: map[string]time.Time{}}
 }
 
-// Of returns where an account's tokens are.
+// Of returns the home of an account and the way to reach it.
 func (h *Homes) Of(account string, now time.Time) Place {
-	for node, d := range h.doubts {
-		h.review(node, d, now)
+	for node, s := range h.suspects {
+		h.review(node, s, now)
 	}
-	if at := h.fleet.Changed(); at != h.at {
-		h.at = at
-		clear(h.found)
-		maps.DeleteFunc(h.asked, func(node string, _ time.Time) bool { return !h.fleet.Known(node) })
+	if changed := h.fleet.Changed(); changed != h.changed {
+		h.changed = changed
+		clear(h.places)
+		maps.DeleteFunc(h.successorPings, func(node string, _ time.Time) bool { return !h.fleet.Known(node) })
 	}
-	p, ok := h.found[account]
+	p, ok := h.places[account]
 	if ok {
 		return p
 	}
 	p = h.search(account, now)
 	if !p.Pending {
-		h.found[account] = p
+		h.places[account] = p
 	}
 	return p
 }
 
-// search ranks the nodes for an account, leaving out those that are gone.
+// search returns the first node in an account's ranking that is not considered gone.
 func (h *Homes) search(account string, now time.Time) Place {
 	gone := map[string]bool{}
 	for {
 		node := h.fleet.First(account, gone)
-		d := h.doubts[node]
+		s := h.suspects[node]
 		linked, _ := h.fleet.Linked(node)
 		switch {
-		case node == h.fleet.Self() || linked && d == nil:
+		case node == h.fleet.Self() || linked && s == nil:
 			return Place{Home: node, Way: node, Acting: len(gone) > 0}
 		case h.fleet.Dial(node):
 			return Place{Home: node, Pending: true}
-		case d == nil:
-			h.Doubt(node, now)
+		case s == nil:
+			h.Suspect(node, now)
 			return Place{Home: node, Pending: true}
-		case d.via != "":
-			return Place{Home: node, Way: d.via}
-		case d.alone:
+		case s.via != "":
+			return Place{Home: node, Way: s.via}
+		case s.isolated:
 			return Place{}
-		case !d.gone || now.Before(d.claimed):
+		case !s.gone || now.Before(s.claimedUntil):
 			return Place{Home: node, Pending: true}
 		}
 		gone[node] = true
 	}
 }
 
-// Unanswered takes note that a home was asked in vain.
+// Unanswered records that the home of p did not answer.
 func (h *Homes) Unanswered(p Place, now time.Time) {
-	if d := h.doubts[p.Home]; d != nil && d.via == p.Way {
-		d.via = ""
+	if s := h.suspects[p.Home]; s != nil && s.via == p.Way {
+		s.via = ""
 	}
-	h.Doubt(p.Home, now)
+	h.Suspect(p.Home, now)
 }
 
-// Doubt takes note that a node does not answer, and has others asked for it.
-func (h *Homes) Doubt(node string, now time.Time) {
+// Suspect records that a node does not answer, and probes it through other nodes.
+func (h *Homes) Suspect(node string, now time.Time) {
 	if node == "" || node == h.fleet.Self() {
 		return
 	}
-	d := h.doubts[node]
-	if d == nil {
-		d = &doubt{since: now}
-		h.doubts[node] = d
+	s := h.suspects[node]
+	if s == nil {
+		s = &suspect{since: now}
+		h.suspects[node] = s
 	}
-	h.probe(node, d, now)
+	h.probe(node, s, now)
 }
 
-// review ends a doubt about a node that has been heard since, or is no longer known, and
-// has others asked again about the rest from time to time.
-func (h *Homes) review(node string, d *doubt, now time.Time) {
-	if h.answered(node, d) || !h.fleet.Known(node) {
+// review ends the suspicion of a node that has answered since, or is no longer known;
+// otherwise it pings the node and repeats the probe when they are due.
+func (h *Homes) review(node string, s *suspect, now time.Time) {
+	if h.answered(node, s) || !h.fleet.Known(node) {
 		h.Trust(node)
 		return
 	}
-	if !now.Before(d.pinged.Add(pingAgain)) {
-		d.pinged = now
+	if !now.Before(s.pingedAt.Add(pingInterval)) {
+		s.pingedAt = now
 		h.fleet.Ping(node)
 	}
-	if now.Before(d.until) {
+	if now.Before(s.probeAt) {
 		return
 	}
-	h.probe(node, d, now)
+	h.probe(node, s, now)
 }
 
-// answered tells whether a node has answered a ping since it is in doubt.
-func (h *Homes) answered(node string, d *doubt) bool {
+// answered reports whether a node has answered a ping since it is suspected.
+func (h *Homes) answered(node string, s *suspect) bool {
 	linked, at := h.fleet.Linked(node)
-	return linked && at.After(d.since)
+	return linked && at.After(s.since)
 }
 
-// Trust ends the doubt about a node: there is a new link to it.
+// Trust ends the suspicion of a node: there is a new link to it.
 func (h *Homes) Trust(node string) {
-	if h.doubts[node] != nil {
-		delete(h.doubts, node)
-		clear(h.found)
+	if h.suspects[node] != nil {
+		delete(h.suspects, node)
+		clear(h.places)
 	}
 }
 
-// probe has others asked about a node. What was known until now holds until they had time
-// to answer.
-func (h *Homes) probe(node string, d *doubt, now time.Time) {
-	if d.probing {
+// probe asks other nodes whether they reach a node. The previous result stays valid until
+// they have had time to answer.
+func (h *Homes) probe(node string, s *suspect, now time.Time) {
+	if s.probing {
 		return
 	}
-	d.probing = true
-	d.until = now.Add(probeAgain)
-	d.heard = 0
-	d.pinged = now
+	s.probing = true
+	s.probeAt = now.Add(probeInterval)
+	s.answers = 0
+	s.pingedAt = now
 	h.fleet.Ping(node)
 	h.fleet.Probe(node)
-	clear(h.found)
+	clear(h.places)
 }
 
-// Back returns the way to the home of an account for which this node has stood in, and
-// whether there is one: while it is not known who the home is, nothing is handed over.
+// Back returns the way to the home of an account for which this node acts as home. ok is
+// false while the home is not determined or is this node, so that nothing is handed over.
 func (h *Homes) Back(account string, now time.Time) (way string, ok bool) {
 	p := h.Of(account, now)
 	ok = !p.Pending && p.Home != "" && p.Home != h.fleet.Self()
 	return p.Way, ok
 }
 
-// Claimed takes a node's own word that it is the home of accounts for which this one may
-// have stood in. Without a link to it yet, nothing is given in its place for a while.
+// Claimed records a claim by the home of accounts for which this node may act as home. Even
+// without a link to the claimant yet, this node does not act in its place for claimValidity.
 func (h *Homes) Claimed(node string, now time.Time) {
-	if d := h.doubts[node]; d != nil {
-		d.claimed = now.Add(claimTime)
-		clear(h.found)
+	if s := h.suspects[node]; s != nil {
+		s.claimedUntil = now.Add(claimValidity)
+		clear(h.places)
 	}
 }
 
-// Successors returns the nodes that may stand in for this one as an account's home, as they
-// rank, and asks them for a sign of life: up to the first that is there by its replies, and
-// mostSuccessors at the most. Those before it may be away, and the node behind them would not
-// hear that its place is taken: six of 100,000 schedules of the model went over a limit so.
+// Successors returns the nodes that may act as an account's home in place of this one, by
+// rank, and pings them: up to the first that is reachable according to its replies, and
+// maxSuccessors at most. If only the first successor received the claim while unreachable,
+// the node ranked after it would not learn that the account has a home.
 func (h *Homes) Successors(account string, now time.Time) []string {
 	var out []string
-	without := map[string]bool{h.fleet.Self(): true}
-	for len(out) < mostSuccessors {
-		node := h.fleet.First(account, without)
-		if without[node] {
+	excluded := map[string]bool{h.fleet.Self(): true}
+	for len(out) < maxSuccessors {
+		node := h.fleet.First(account, excluded)
+		if excluded[node] {
 			break // There is no other.
 		}
-		without[node] = true
+		excluded[node] = true
 		out = append(out, node)
 		if h.replies(node, now) {
 			break
@@ -240,50 +239,51 @@
 	return out
 }
 
-// replies tells whether a node is there by its latest reply to a ping, and pings it again
-// unless a reply is still on its way, as when many accounts have the same successor.
+// replies reports whether a node is reachable according to its last ping reply. It sends
+// another ping unless a reply is pending, as when many accounts share a successor.
 func (h *Homes) replies(node string, now time.Time) bool {
-	linked, ponged := h.fleet.Linked(node)
-	asked := h.asked[node]
-	owes := ponged.Before(asked)
-	if owes && now.Before(asked.Add(replyTime)) {
-		return linked && now.Before(ponged.Add(lifeTime))
+	linked, repliedAt := h.fleet.Linked(node)
+	pingedAt := h.successorPings[node]
+	awaiting := repliedAt.Before(pingedAt)
+	if awaiting && now.Before(pingedAt.Add(replyTimeout)) {
+		return linked && now.Before(repliedAt.Add(replyValidity))
 	}
-	h.asked[node] = now
+	h.successorPings[node] = now
 	h.fleet.Ping(node)
-	return linked && !owes && now.Before(ponged.Add(lifeTime))
+	return linked && !awaiting && now.Before(repliedAt.Add(replyValidity))
 }
 
-// Reached takes another node's word on whether it reaches one that was probed for.
+// Reached handles the answer of the node via to a probe of node.
 func (h *Homes) Reached(node, via string, reached bool) {
-	d := h.doubts[node]
-	if d == nil {
+	s := h.suspects[node]
+	if s == nil {
 		return
 	}
-	d.heard++
+	s.answers++
 	if reached {
-		d.via = via
-		d.gone, d.alone = false, false
-		clear(h.found)
+		s.via = via
+		s.gone, s.isolated = false, false
+		clear(h.places)
 	}
 }
 
-// ProbeEnded takes a node for gone that nobody said to reach. Where nobody answered it is
-// this node that is cut off: were it to take the home's place, the account would have two.
+// ProbeEnded considers a node gone if at least one node answered the probe and none reaches
+// it. If no node answered, this node itself may be cut off: by acting as home it would give
+// the account a second one.
 func (h *Homes) ProbeEnded(node string, now time.Time) {
-	d := h.doubts[node]
-	if d == nil {
+	s := h.suspects[node]
+	if s == nil {
 		return
 	}
-	d.probing = false
-	if h.answered(node, d) {
-		h.Trust(node) // It was only late.
+	s.probing = false
+	if h.answered(node, s) {
+		h.Trust(node) // Its reply arrived late.
 		return
 	}
-	d.alone = d.via == "" && d.heard == 0
-	d.gone = d.via == "" && !d.alone
-	if d.alone {
-		d.until = now.Add(aloneAgain)
+	s.isolated = s.via == "" && s.answers == 0
+	s.gone = s.via == "" && !s.isolated
+	if s.isolated {
+		s.probeAt = now.Add(isolatedRetry)
 	}
-	clear(h.found)
+	clear(h.places)
 }
--- a/quota/message.go
+++ b/quota/message.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// Message is anything that Home or Spender is told, with the time at which it was.
+// Message is an input to Home or Spender, with the time at which it arrived.
 type Message interface{ at() time.Time }
 
 // Messages to Home.
 type (
-	// Asked says that a node wants a token for a request.
+	// Asked requests a token on behalf of a node.
 	Asked struct {
 		At      time.Time
 		From    string // The node's address.
-		Number  uint64 // The node's name for the request.
+		Number  uint64 // The request's number at that node.
 		Account string
 		Limit   Limit
-		Spent   int  // Tokens spent without a home that were not reported yet.
-		Acting  bool // This node stands in for the account's home.
+		Spent   int  // Tokens spent without a home and not reported yet.
+		Acting  bool // This node acts as home in place of the account's own.
 	}
-	// Reported says that a node has spent tokens without a home, or gives some back.
+	// Reported reports tokens that a node spent without a home, or returns.
 	Reported struct {
 		At      time.Time
 		Account string
 		Limit   Limit
-		Count   int // Under 0 for tokens that come back.
+		Count   int // Negative for returned tokens.
 		Acting  bool
 	}
-	// Resigned says that the account's home is back, for which this node has stood in.
+	// Resigned reports that the home has returned for which this node acted.
 	Resigned struct {
 		At      time.Time
 		Account string
-		To      string // The way to the home.
+		To      string // Node to send to: the home, or one that reaches it.
 	}
 )
 
 // Messages to Spender.
 type (
-	// Wanted says that a request needs a token.
+	// Wanted requests a token for a request.
 	Wanted struct {
 		At      time.Time
 		Number  uint64
@@ -43,40 +43,40 @@
 		Limit   Limit
 		Home    string // The address of the account's home; "" if none is reached.
 	}
-	// Answered is a home's word on a request.
+	// Answered is a home's answer to an Ask.
 	Answered struct {
 		At      time.Time
 		Number  uint64
 		Granted bool
-		Unknown bool          // The node asked does not know: it reaches no home itself.
-		After   time.Duration // When to come back, where it is not granted.
+		Unknown bool          // The node asked reaches no home itself.
+		After   time.Duration // Retry-after, if not granted.
 	}
-	// Unanswered says that a home was asked for long enough. The request goes on under
-	// another number, so that the home's word is not taken for a later one's.
+	// Unanswered reports that a home did not answer in time. The request continues under
+	// another number, so that a late answer is not mistaken for one to the next Ask.
 	Unanswered struct {
 		At     time.Time
 		Number uint64
 		Next   uint64
-		Home   string // Who is to be asked now; "" if the request cannot wait.
+		Home   string // Node to ask next; "" if the request cannot wait.
 	}
-	// Returned says that an admitted request has not run, and never will.
+	// Returned reports that an admitted request has not run and will not run.
 	Returned struct {
 		At      time.Time
 		Account string
 	}
-	// Passed says that another node took this one for an account's home, and reported to it.
+	// Passed carries tokens that another node reported here although the home is elsewhere.
 	Passed struct {
 		At      time.Time
 		Account string
 		Limit   Limit
 		Count   int
 	}
-	// HomeLost says that a home cannot be reached any more.
+	// HomeLost reports that a home cannot be reached any more.
 	HomeLost struct {
 		At   time.Time
 		Home string
 	}
-	// Flushed says that it is time to report.
+	// Flushed reports that the tokens spent or returned are due to be reported.
 	Flushed struct{ At time.Time }
 )
 
@@ -91,28 +91,28 @@
 func (m HomeLost) at() time.Time   { return m.At }
 func (m Flushed) at() time.Time    { return m.At }
 
-// Command is anything that Home or Spender wants done.
+// Command is an action that Home or Spender requests.
 type Command interface{ command() }
 
 // Commands of Home.
 type (
-	// Answer tells a node what becomes of its request.
+	// Answer sends a node the decision on its request.
 	Answer struct {
 		To      string
 		Number  uint64
 		Granted bool
 		After   time.Duration
 	}
-	// Claim tells the node that may have stood in for this one that it is an account's home.
+	// Claim notifies an account's successors that this node is its home.
 	Claim struct{ Account string }
-	// Over says, once a second at the most, that an account is over its limit.
+	// Over reports, at most once per second, that an account is over its limit.
 	Over struct {
 		Use
-		Refused int // Requests that were refused since it was said last.
+		Refused int // Requests refused since the last report.
 	}
 )
 
-// Report tells a home of tokens that were spent, or come back.
+// Report sends a home the number of tokens spent, or returned if negative.
 type Report struct {
 	To      string
 	Account string
@@ -121,15 +121,15 @@
 
 // Commands of Spender.
 type (
-	// Admit lets a request go ahead.
+	// Admit admits a request.
 	Admit struct{ Number uint64 }
-	// Refuse turns a request away.
+	// Refuse refuses a request.
 	Refuse struct {
 		Number      uint64
-		After       time.Duration // When to come back.
-		Unconfirmed bool          // Nobody could say whether the account is over its limit.
+		After       time.Duration // Retry-after.
+		Unconfirmed bool          // It could not be determined whether the account is over its limit.
 	}
-	// Ask wants a token from a home.
+	// Ask requests a token from a home.
 	Ask struct {
 		To      string
 		Number  uint64
--- a/quota/modelnode_test.go
+++ b/quota/modelnode_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// tally counts requests that came, and those that were refused.
+// tally counts requests, and the refused ones among them.
 type tally struct{ asked, refused int }
 
 func (t *tally) add(o tally) {
@@ -17,31 +17,31 @@
 
 func (t *tally) share() float64 { return float64(t.refused) / float64(max(t.asked, 1)) }
 
-// modelNode is one node's process.
+// modelNode is the process of one node.
 type modelNode struct {
 	*model
-	id      int
-	life    int
-	alive   bool
-	away    bool // All its links are cut.
-	met     bool // It knows the newcomer.
-	home    *Home
-	spender *Spender
-	homes   *Homes
-	number  uint64
-	waiting map[uint64]*modelRequest
-	flushed bool
-	changed uint64
-	down    map[int]bool          // Nodes to which the link was given up.
-	heard   map[int]time.Duration // When a ping was last answered.
-}
-
-// modelRequest is a request on its way to a decision.
+	id          int
+	life        int
+	alive       bool
+	isolated    bool // All its links are cut.
+	metNewcomer bool // It has a record of the newcomer.
+	home        *Home
+	spender     *Spender
+	homes       *Homes
+	number      uint64
+	waiting     map[uint64]*modelRequest
+	flushed     bool
+	changed     uint64
+	down        map[int]bool          // Nodes to which the link is down.
+	repliedAt   map[int]time.Duration // When each node last answered a ping.
+}
+
+// modelRequest is a request that waits for a decision.
 type modelRequest struct {
-	came   time.Duration
-	place  Place
-	hops   int
-	decide func(granted, unknown bool, after time.Duration)
+	arrivedAt time.Duration
+	place     Place
+	hops      int
+	decide    func(granted, unknown bool, after time.Duration)
 }
 
 func (m *model) after(d time.Duration, do func()) {
@@ -49,7 +49,7 @@
 	heap.Push(&m.queue, event{at: m.now + d, order: m.order, do: do})
 }
 
-func (m *model) time() time.Time { return scriptBegin.Add(m.now) }
+func (m *model) time() time.Time { return scriptStart.Add(m.now) }
 
 func address(id int) string { return fmt.Sprintf("n%02d", id) }
 
@@ -67,18 +67,18 @@
 // Changed implements Fleet.
 func (n *modelNode) Changed() uint64 { return n.changed }
 
-// First implements Fleet: nodes rank by their numbers.
-func (n *modelNode) First(_ string, without map[string]bool) string {
+// First implements Fleet: nodes rank in the order of model.ranks.
+func (n *modelNode) First(_ string, excluded map[string]bool) string {
 	for _, id := range n.ranks {
-		if n.knows(id) && !without[address(id)] {
+		if n.isKnown(id) && !excluded[address(id)] {
 			return address(id)
 		}
 	}
 	return n.Self()
 }
 
-// knows tells whether the node has heard of another one: all know those of the beginning.
-func (n *modelNode) knows(id int) bool { return id != n.newcomer || id == n.id || n.met }
+// isKnown reports whether the node has a record of another one: all know the initial nodes.
+func (n *modelNode) isKnown(id int) bool { return id != n.newcomer || id == n.id || n.metNewcomer }
 
 // Known implements Fleet.
 func (n *modelNode) Known(string) bool { return true }
@@ -86,10 +86,10 @@
 // Linked implements Fleet.
 func (n *modelNode) Linked(node string) (bool, time.Time) {
 	id := idOf(node)
-	return !n.down[id], scriptBegin.Add(n.heard[id])
+	return !n.down[id], scriptStart.Add(n.repliedAt[id])
 }
 
-// Dial implements Fleet: all nodes keep links to all.
+// Dial implements Fleet: all nodes are linked to all others anyway.
 func (n *modelNode) Dial(string) bool { return false }
 
 // Ping implements Fleet.
@@ -98,14 +98,14 @@
 // Probe implements Fleet.
 func (n *modelNode) Probe(node string) {
 	life := n.life
-	n.after(modelProbe, func() {
+	n.after(modelProbeTime, func() {
 		if n.life == life {
 			n.homes.ProbeEnded(node, n.time())
 		}
 	})
 	to := idOf(node)
 	asked := 0
-	for _, through := range n.some(len(n.nodes)) {
+	for _, through := range n.randomNodes(len(n.nodes)) {
 		if through == to || through == n.id || n.down[through] || asked == 5 {
 			continue
 		}
@@ -114,11 +114,11 @@
 	}
 }
 
-// ping asks a node for a sign of life.
+// ping sends a ping to a node and calls answered on its reply.
 func (n *modelNode) ping(to int, answered func()) {
 	n.send(to, func(target *modelNode) {
 		target.send(n.id, func(n *modelNode) {
-			n.heard[to] = n.now
+			n.repliedAt[to] = n.now
 			answered()
 		})
 	})
@@ -127,42 +127,42 @@
 // probeFor pings a node on behalf of another one.
 func (n *modelNode) probeFor(asker *modelNode, to int) {
 	reached := false
-	n.ping(to, func() { reached = n.plant != plantNoProbe })
-	n.after(modelPing, func() {
+	n.ping(to, func() { reached = n.fault != faultNoProbe })
+	n.after(modelPingTimeout, func() {
 		n.send(asker.id, func(asker *modelNode) { asker.homes.Reached(address(to), n.Self(), reached) })
 	})
 }
 
-// look counts the nodes that are reached.
-func (n *modelNode) look(life int) {
+// countReached periodically estimates which fraction of the fleet is reached.
+func (n *modelNode) countReached(life int) {
 	if n.life != life {
 		return
 	}
-	n.after(modelLook, func() { n.look(life) })
+	n.after(modelCountInterval, func() { n.countReached(life) })
 	n.resign()
 	if n.home.Idle() {
 		return
 	}
-	count := modelSample
+	count := modelCountSample
 	if n.home.Short(n.time()) {
 		count = len(n.nodes)
 	}
-	asked, heard := 1, 1
-	for _, to := range n.some(len(n.nodes)) {
+	asked, replied := 1, 1
+	for _, to := range n.randomNodes(len(n.nodes)) {
 		if to == n.id || asked > count {
 			continue
 		}
 		asked++
-		n.ping(to, func() { heard++ })
+		n.ping(to, func() { replied++ })
 	}
-	n.after(modelSign, func() {
-		if n.life == life && n.plant != plantWholeShare {
-			n.home.SetShare(float64(heard) / float64(asked))
+	n.after(modelCountTime, func() {
+		if n.life == life && n.fault != faultFullRate {
+			n.home.SetShare(float64(replied) / float64(asked))
 		}
 	})
 }
 
-// resign hands over to a home that is back.
+// resign hands over to homes that have returned.
 func (n *modelNode) resign() {
 	for _, account := range n.home.StoodIn() {
 		if way, ok := n.homes.Back(account, n.time()); ok {
@@ -171,12 +171,12 @@
 	}
 }
 
-// send carries a message, unless the link is cut or a process is gone. A link that
-// carries nothing in one direction is given up by both sides after some time.
+// send delivers a message, unless the link is cut or a process has ended. A link that
+// carries nothing in one direction is dropped after modelDeadLinkTime.
 func (n *modelNode) send(to int, do func(*modelNode)) {
 	target := n.nodes[to]
 	if n.down[to] || !target.alive {
-		n.giveUp(to)
+		n.dropLink(to)
 		return
 	}
 	life := target.life
@@ -186,9 +186,9 @@
 	}
 	if n.cut[[2]int{n.id, to}] {
 		own := n.life
-		n.after(modelDead, func() {
+		n.after(modelDeadLinkTime, func() {
 			if n.life == own && n.cut[[2]int{n.id, to}] {
-				n.giveUp(to)
+				n.dropLink(to)
 			}
 		})
 		return
@@ -200,8 +200,8 @@
 	})
 }
 
-// giveUp ends the links between two nodes; they are made again once they can be.
-func (n *modelNode) giveUp(to int) {
+// dropLink drops the link to a node; it is redialed until that is possible again.
+func (n *modelNode) dropLink(to int) {
 	if n.down[to] {
 		return
 	}
@@ -226,102 +226,102 @@
 	})
 }
 
-// start runs a new process.
+// start starts a new process.
 func (n *modelNode) start() {
 	n.life++
 	n.alive = true
 	n.home = NewHome(n.bounds)
 	if n.now > 0 {
-		n.home.Unsettle(n.time()) // The fleet of the beginning has been there for long.
+		n.home.Unsettle(n.time()) // The initial fleet counts as unchanged for long.
 	}
 	n.spender = NewSpender(n.bounds, n.random.Float64)
 	n.spender.SetNodes(len(n.nodes))
 	n.homes = NewHomes(n)
 	n.waiting = map[uint64]*modelRequest{}
 	n.flushed = false
-	n.met = n.met || n.newcomer >= 0 && n.newcomer != n.id && n.nodes[n.newcomer].alive // It reads who is there.
+	n.metNewcomer = n.metNewcomer || n.newcomer >= 0 && n.newcomer != n.id && n.nodes[n.newcomer].alive // It reads the list of nodes on start.
 	n.down = map[int]bool{}
-	n.heard = map[int]time.Duration{}
-	n.look(n.life)
+	n.repliedAt = map[int]time.Duration{}
+	n.countReached(n.life)
 }
 
-// change takes note that another node came or went.
+// change records that another node joined or left.
 func (n *modelNode) change() {
 	n.changed++
 	n.home.Unsettle(n.time())
 }
 
-// request takes a request of the account.
+// request handles a request of the account.
 func (n *modelNode) request() {
 	if !n.alive {
 		return
 	}
-	came := n.now
-	tally := &n.reached
-	if n.away {
-		tally = &n.cutOffs
+	arrivedAt := n.now
+	tally := &n.reachedTally
+	if n.isolated {
+		tally = &n.isolatedTally
 	}
 	tally.asked++
-	n.take(0, func(granted, _ bool, _ time.Duration) {
+	n.decideRequest(0, func(granted, _ bool, _ time.Duration) {
 		if granted {
-			n.ran = append(n.ran, admitted{came: came, at: n.now})
+			n.admitted = append(n.admitted, admission{arrivedAt: arrivedAt, admittedAt: n.now})
 			return
 		}
 		tally.refused++
 	})
 }
 
-// take has a request decided, as package mesh does.
-func (n *modelNode) take(hops int, decide func(granted, unknown bool, after time.Duration)) {
-	r := &modelRequest{came: n.now, hops: hops, decide: decide}
-	n.place(r, n.life, func() {
+// decideRequest obtains the decision on a request, as package mesh does.
+func (n *modelNode) decideRequest(hops int, decide func(granted, unknown bool, after time.Duration)) {
+	r := &modelRequest{arrivedAt: n.now, hops: hops, decide: decide}
+	n.locate(r, n.life, func() {
 		n.number++
 		number := n.number
 		n.waiting[number] = r
 		n.do(n.spender.Update(Wanted{At: n.time(), Number: number, Account: modelAccount, Limit: n.limit, Home: r.place.Way}))
-		n.watch(number, n.life)
+		n.awaitAnswer(number, n.life)
 	})
 }
 
-// place finds out how the home is reached, and goes on.
-func (n *modelNode) place(r *modelRequest, life int, goOn func()) {
+// locate waits until it is determined how the home is reached, and calls next.
+func (n *modelNode) locate(r *modelRequest, life int, next func()) {
 	if n.life != life || !n.alive {
 		return
 	}
 	r.place = n.homes.Of(modelAccount, n.time())
 	if !r.place.Pending {
-		goOn()
+		next()
 		return
 	}
-	if n.now >= r.came+modelTotal {
+	if n.now >= r.arrivedAt+modelTotalTimeout {
 		r.place = Place{}
-		goOn()
+		next()
 		return
 	}
-	n.after(modelPoll, func() { n.place(r, life, goOn) })
+	n.after(modelPoll, func() { n.locate(r, life, next) })
 }
 
-// watch asks elsewhere when a home does not answer.
-func (n *modelNode) watch(number uint64, life int) {
+// awaitAnswer asks again elsewhere if a home does not answer in time.
+func (n *modelNode) awaitAnswer(number uint64, life int) {
 	if n.waiting[number] == nil {
 		return
 	}
-	n.after(modelAsk, func() {
+	n.after(modelAskTimeout, func() {
 		r := n.waiting[number]
 		if n.life != life || !n.alive || r == nil {
 			return
 		}
 		n.homes.Unanswered(r.place, n.time())
-		if n.now >= r.came+modelTotal {
+		if n.now >= r.arrivedAt+modelTotalTimeout {
 			r.place = Place{}
-			n.again(number, r, life)
+			n.askAgain(number, r, life)
 			return
 		}
-		n.place(r, life, func() { n.again(number, r, life) })
+		n.locate(r, life, func() { n.askAgain(number, r, life) })
 	})
 }
 
-func (n *modelNode) again(number uint64, r *modelRequest, life int) {
+func (n *modelNode) askAgain(number uint64, r *modelRequest, life int) {
 	if n.waiting[number] == nil {
 		return
 	}
@@ -330,17 +330,17 @@
 	next := n.number
 	n.waiting[next] = r
 	n.do(n.spender.Update(Unanswered{At: n.time(), Number: number, Next: next, Home: r.place.Way}))
-	n.watch(next, life)
+	n.awaitAnswer(next, life)
 }
 
-// do carries commands out.
+// do executes commands.
 func (n *modelNode) do(commands []Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
 		case Admit:
 			n.decide(c.Number, true, false, 0)
 		case Refuse:
-			n.decide(c.Number, c.Unconfirmed && n.plant == plantFreePart, c.Unconfirmed, c.After)
+			n.decide(c.Number, c.Unconfirmed && n.fault == faultUnlimitedLocal, c.Unconfirmed, c.After)
 		case Ask:
 			n.ask(c)
 		case Report:
@@ -355,7 +355,7 @@
 	if n.spender.Dirty() && !n.flushed {
 		n.flushed = true
 		life := n.life
-		n.after(modelFlush, func() {
+		n.after(modelFlushDelay, func() {
 			if n.life == life && n.alive {
 				n.flushed = false
 				n.do(n.spender.Update(Flushed{At: n.time()}))
@@ -364,7 +364,7 @@
 	}
 }
 
-// noteGrant counts what a home gives.
+// noteGrant counts the tokens that a home grants.
 func (n *modelNode) noteGrant(c Answer) {
 	if !c.Granted {
 		return
@@ -383,7 +383,7 @@
 	}
 }
 
-// sendTo is send that reaches the node itself as well.
+// sendTo is like send, but also delivers to the node itself.
 func (n *modelNode) sendTo(to string, do func(*modelNode)) {
 	if to == n.Self() {
 		do(n)
@@ -400,7 +400,7 @@
 	n.sendTo(c.To, func(to *modelNode) { to.asked(n.Self(), c, hops) })
 }
 
-// asked answers a question, or passes it on to the home.
+// asked answers an Ask, or forwards it to the home.
 func (n *modelNode) asked(from string, c Ask, hops int) {
 	place := n.homes.Of(modelAccount, n.time())
 	switch {
@@ -412,7 +412,7 @@
 		})
 	default:
 		n.do(n.spender.Update(Passed{At: n.time(), Account: c.Account, Limit: n.limit, Count: c.Spent}))
-		n.take(hops+1, func(granted, unknown bool, after time.Duration) {
+		n.decideRequest(hops+1, func(granted, unknown bool, after time.Duration) {
 			n.sendTo(from, func(to *modelNode) {
 				to.do(to.spender.Update(Answered{At: to.time(), Number: c.Number, Granted: granted, Unknown: unknown, After: after}))
 			})
@@ -426,9 +426,9 @@
 	})
 }
 
-// claim tells who may have stood in for this node, unless that is lost on purpose.
+// claim notifies the successors that this node is the home.
 func (n *modelNode) claim(account string) {
-	if n.plant == plantNoClaim {
+	if n.fault == faultNoClaim {
 		return
 	}
 	for _, successor := range n.homes.Successors(account, n.time()) {
@@ -436,10 +436,10 @@
 	}
 }
 
-// claimed takes another node's word that it is the home.
+// claimed delivers this node's claim to another node.
 func (n *modelNode) claimed(to *modelNode) {
-	if n.id == to.newcomer && !to.met {
-		to.met = true
+	if n.id == to.newcomer && !to.metNewcomer {
+		to.metNewcomer = true
 		to.change()
 	}
 	to.homes.Claimed(n.Self(), to.time())
--- a/quota/script_test.go
+++ b/quota/script_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// spenderScript is a case of spender.yaml.
-type spenderScript struct {
+// limiterScript is a case of limiter.yaml.
+type limiterScript struct {
 	Why   string `yaml:"why"`
 	Nodes int    `yaml:"nodes"`
 	Steps []struct {
@@ -36,22 +36,22 @@
 type homeScript struct {
 	Why   string  `yaml:"why"`
 	Share float64 `yaml:"share"`
-	// Settled says that the fleet has been the same for long.
+	// Settled selects a home whose fleet has been unchanged for long.
 	Settled bool `yaml:"settled"`
 	Steps   []struct {
 		At       time.Duration `yaml:"at"`
-		From     string        `yaml:"from"` // "a" where it is left out.
-		Rate     float64       `yaml:"rate"` // Another limit than the usual.
+		From     string        `yaml:"from"` // "a" if omitted.
+		Rate     float64       `yaml:"rate"` // Rate of a limit that replaces scriptLimit.
 		Asked    int           `yaml:"asked"`
 		Reported int           `yaml:"reported"`
-		Resigned string        `yaml:"resigned"` // The home that is back.
+		Resigned string        `yaml:"resigned"` // Way to the home that has returned.
 		Acting   bool          `yaml:"acting"`
 		Want     []string      `yaml:"want"`
 	} `yaml:"steps"`
 }
 
 var (
-	scriptBegin = time.Unix(1000, 0)
+	scriptStart = time.Unix(1000, 0)
 	scriptLimit = Limit{Rate: 10, Burst: 10}
 )
 
@@ -62,16 +62,16 @@
 	require.NoError(t, yaml.UnmarshalWithOptions(text, into, yaml.Strict()))
 }
 
-// told writes commands as the scripts do.
-func told(commands []Command) []string {
+// formatAll returns commands in the notation of the scripts.
+func formatAll(commands []Command) []string {
 	var out []string
 	for _, c := range commands {
-		out = append(out, tell(c))
+		out = append(out, format(c))
 	}
 	return out
 }
 
-func tell(c Command) string {
+func format(c Command) string {
 	suffix := ""
 	switch c := c.(type) {
 	case Admit:
@@ -100,14 +100,14 @@
 }
 
 func TestSpender(t *testing.T) {
-	var scripts []spenderScript
-	readScripts(t, "spender.yaml", &scripts)
+	var scripts []limiterScript
+	readScripts(t, "limiter.yaml", &scripts)
 	for _, script := range scripts {
 		t.Run(script.Why, func(t *testing.T) {
 			s := NewSpender(Bounds{Window: 5 * time.Second}, func() float64 { return 0.5 })
 			s.SetNodes(script.Nodes)
 			for i, step := range script.Steps {
-				at := scriptBegin.Add(step.At)
+				at := scriptStart.Add(step.At)
 				var m Message
 				switch {
 				case step.Wanted > 0:
@@ -123,7 +123,7 @@
 				case step.Flushed:
 					m = Flushed{At: at}
 				}
-				assert.Equal(t, step.Want, told(s.Update(m)), "step %d", i)
+				assert.Equal(t, step.Want, formatAll(s.Update(m)), "step %d", i)
 			}
 		})
 	}
@@ -136,13 +136,13 @@
 		t.Run(script.Why, func(t *testing.T) {
 			h := NewHome(Bounds{Window: 5 * time.Second, Over: 0.1, Slack: 34})
 			if !script.Settled {
-				h.Unsettle(scriptBegin)
+				h.Unsettle(scriptStart)
 			}
 			if script.Share > 0 {
 				h.SetShare(script.Share)
 			}
 			for i, step := range script.Steps {
-				at := scriptBegin.Add(step.At)
+				at := scriptStart.Add(step.At)
 				limit := scriptLimit
 				if step.Rate > 0 {
 					limit = Limit{Rate: step.Rate}
@@ -161,25 +161,25 @@
 				if step.Resigned != "" {
 					commands = h.Update(Resigned{At: at, Account: "office", To: step.Resigned})
 				}
-				assert.Equal(t, step.Want, told(commands), "step %d", i)
+				assert.Equal(t, step.Want, formatAll(commands), "step %d", i)
 			}
 		})
 	}
 }
 
-// TestForgetsIdleAccounts asks about many accounts once: a minute later nothing of them
-// is kept, neither at the home nor where the requests came in.
+// TestForgetsIdleAccounts guards against a leak: accounts that are unused for a minute must be
+// removed, both at the home and at the nodes that received their requests.
 func TestForgetsIdleAccounts(t *testing.T) {
 	b := Bounds{Window: 5 * time.Second}
 	h, s := NewHome(b), NewSpender(b, func() float64 { return 0.5 })
 	for n := range uint64(100) {
 		name := fmt.Sprint(n)
-		h.Update(Asked{At: scriptBegin, From: "a", Number: n, Account: name, Limit: scriptLimit})
-		s.Update(Wanted{At: scriptBegin, Number: n, Account: name, Limit: scriptLimit, Home: "h"})
-		s.Update(Answered{At: scriptBegin, Number: n, Granted: true})
+		h.Update(Asked{At: scriptStart, From: "a", Number: n, Account: name, Limit: scriptLimit})
+		s.Update(Wanted{At: scriptStart, Number: n, Account: name, Limit: scriptLimit, Home: "h"})
+		s.Update(Answered{At: scriptStart, Number: n, Granted: true})
 	}
-	assert.Len(t, h.Uses(scriptBegin, 1000), 100)
-	later := scriptBegin.Add(idleTime + time.Second)
+	assert.Len(t, h.Uses(scriptStart, 1000), 100)
+	later := scriptStart.Add(idleTime + time.Second)
 	h.Update(Reported{At: later, Account: "one", Limit: scriptLimit})
 	s.Update(Flushed{At: later})
 	assert.Len(t, h.Uses(later, 1000), 1, "the one that was just reported for")
