--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,19 +1,20 @@
-// Package membership is what one node knows of the other nodes of its fleet, and which of
-// them it keeps links to. It decides without clock, input or output.
+// Package membership holds one node's records of the other nodes of its fleet, and selects the
+// nodes that it keeps links to. It has no clock and performs no input or output.
 //
-// Nodes learn of each other from one page of records in the platform's store, and the rest
-// from those that they meet: what is news is passed on, and two nodes now and then compare
-// sums of what they know, range by range, and send each other what differs. So a start costs
-// as many calls to the store in a fleet of ten thousand as in one of a hundred. What a node
-// says of itself has a version that grows with its starts; that it is gone is said with the
-// version it had, and a node that hears so of itself takes a higher one, as in SWIM (Das,
-// Gupta, Motivala: SWIM, 2002). Comparing sums by range follows Demers and others (Epidemic
-// algorithms for replicated database maintenance, 1987).
+// Nodes learn of each other from one page of records in the platform's store, and of the rest
+// from the nodes that they connect to: new records are passed on, and from time to time two
+// nodes compare sums of their records, range by range, and exchange the ranges that differ.
+// A start thus takes as many calls to the store in a fleet of ten thousand nodes as in one of
+// a hundred. A node's own record has a version that grows with its starts. The record that it
+// is gone has the version of its last record, and a node that receives such a record of
+// itself takes a higher version, as in SWIM (Das, Gupta, Motivala: SWIM, 2002). Comparing
+// sums by range follows Demers and others (Epidemic algorithms for replicated database
+// maintenance, 1987).
 //
-// Of each service a node keeps links to some nodes of its own data centre and to some of
-// the others: the first in an order of its own, so that every gate is dialed by about as
-// many nodes as any other. That choice is always one of all that is known: a link that is
-// displaced by a better one is given up.
+// Of each service a node keeps links to some nodes of its own data centre and to some of the
+// others: the first in an order of its own, so that every gate is dialed by about as many
+// nodes as any other. The selection always takes all known nodes into account: a link that is
+// displaced by a preferred one is dropped.
 //
 // # Usage
 //
--- a/membership/message.go
+++ b/membership/message.go
@@ -6,35 +6,36 @@
 	"eiderfold/link"
 )
 
-// Message is anything a View is told, with the time at which it was.
+// Message is an input to a View, with the time at which it arrived.
 type Message interface{ at() time.Time }
 
-// Heard is what the store or another node says of nodes.
+// Heard carries records from the store or another node.
 type Heard struct {
 	At      time.Time
 	Records []link.Record
 }
 
-// Compared is another node's sums of what it knows, in answer to this one's or not.
+// Compared carries the sums of another node's records. Answer is set if they answer this
+// node's own sums.
 type Compared struct {
 	At     time.Time
 	Sums   []uint64
 	Answer bool
 }
 
-// Unreachable says that a node that is dialed could not be reached for long.
+// Unreachable reports that a dialed node could not be reached for long.
 type Unreachable struct {
 	At      time.Time
 	Address string
 }
 
-// Needed says that a link to a node is needed whether it is among the chosen or not.
+// Needed requests a link to a node whether it is selected or not.
 type Needed struct {
 	At      time.Time
 	Address string
 }
 
-// Ticked says that time has passed.
+// Ticked reports the current time.
 type Ticked struct{ At time.Time }
 
 func (m Heard) at() time.Time       { return m.At }
@@ -43,31 +44,32 @@
 func (m Needed) at() time.Time      { return m.At }
 func (m Ticked) at() time.Time      { return m.At }
 
-// Command is anything a View wants done.
+// Command is an action that a View requests.
 type Command interface{ command() }
 
-// Dial begins to keep a link to a node.
+// Dial establishes a link to a node and keeps it.
 type Dial struct{ Member link.Member }
 
-// Drop gives a link up, once no work is on it.
+// Drop closes a link once no request is using it.
 type Drop struct{ Address string }
 
-// News is what others may not know yet.
+// News carries records that other nodes may not have yet.
 type News struct{ Records []link.Record }
 
-// Reply sends records to the node that has sent its sums.
+// Reply sends records to the node that sent its sums.
 type Reply struct{ Records []link.Record }
 
-// Answer sends this node's sums to the node that has sent its own.
+// Answer sends this node's sums to the node that sent its own.
 type Answer struct{ Sums []uint64 }
 
-// Compare sends this node's sums to some node, of another data centre if it is to be far.
+// Compare sends this node's sums to a node, of another data centre if Far is set.
 type Compare struct {
 	Sums []uint64
 	Far  bool
 }
 
-// Refute says that others take this node for gone: its record has to be written again.
+// Refute reports that other nodes consider this node gone: its record has to be written again
+// with the new version.
 type Refute struct{}
 
 func (Dial) command()    {}
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -15,48 +15,48 @@
 )
 
 const (
-	modelTick   = 250 * time.Millisecond
-	modelMargin = 4 // As many more than ln(n) hear of news.
+	modelTick       = 250 * time.Millisecond
+	modelNewsMargin = 4 // News goes to ln(n) nodes and this many more.
 )
 
-// modelNode is one node of a fleet in the model.
+// modelNode is one node of the fleet.
 type modelNode struct {
-	*dialing
+	*linkRecorder
 	record link.Record
 	up     bool
-	calls  int // To the store, in this life.
-	bytes  int // Records sent to nodes of other data centres.
+	calls  int // Calls to the store since the last start.
+	bytes  int // Records sent to other data centres.
 }
 
-// model is a fleet with the store's pages: starts, comparisons and news as package mesh
-// carries them out, in steps of modelTick.
+// model is a fleet and the pages of its store. It performs starts, comparisons and the
+// passing on of news like package mesh, in steps of modelTick.
 type model struct {
 	random *rand.Rand
 	now    time.Time
 	page   int
 	nodes  map[string]*modelNode
-	order  []string               // Addresses, as the store has them.
-	stored map[string]link.Record // What the store holds.
+	order  []string               // Addresses in the store's order.
+	stored map[string]link.Record // Contents of the store.
 }
 
 func newModel(size, page int) *model {
-	m := &model{random: rand.New(rand.NewPCG(1, 2)), now: begin, page: page, nodes: map[string]*modelNode{}, stored: map[string]link.Record{}}
+	m := &model{random: rand.New(rand.NewPCG(1, 2)), now: startTime, page: page, nodes: map[string]*modelNode{}, stored: map[string]link.Record{}}
 	for _, r := range fleetOf(size) {
 		m.nodes[r.Address] = &modelNode{record: r}
 		m.order = append(m.order, r.Address)
 	}
-	slices.SortFunc(m.order, func(a, b string) int { return cmp.Compare(digestOf(a), digestOf(b)) })
+	slices.SortFunc(m.order, func(a, b string) int { return cmp.Compare(positionOf(a), positionOf(b)) })
 	return m
 }
 
-// digestOf is where an address is in the order of records; any hash will do for the model.
-func digestOf(address string) string { return fmt.Sprintf("%016x", Rank("place "+address)) }
+// positionOf returns the position of an address in the store's order of records.
+func positionOf(address string) string { return fmt.Sprintf("%016x", Rank("place "+address)) }
 
-// read returns a page of records that follow an address, and whether there are more.
+// read returns the page of records from a position on, and whether there are more.
 func (m *model) read(after string) (page []link.Record, more bool) {
 	for _, address := range m.order {
 		r, there := m.stored[address]
-		if !there || digestOf(address) < after {
+		if !there || positionOf(address) < after {
 			continue
 		}
 		if len(page) == m.page {
@@ -67,13 +67,13 @@
 	return page, false
 }
 
-// start starts a node: one page from its own place on, its record if that is missing, and
-// another page if it has found too few others.
+// start starts a node: it reads a page from its own position on, writes its record if that is
+// missing, and reads another page if it has found too few other nodes.
 func (m *model) start(address string) {
 	n := m.nodes[address]
 	n.record.Version = uint64(m.now.UnixMilli())
-	n.dialing, n.up, n.calls = newDialing(n.record), true, 1
-	page, more := m.read(digestOf(address))
+	n.linkRecorder, n.up, n.calls = newLinkRecorder(n.record), true, 1
+	page, more := m.read(positionOf(address))
 	n.update(Heard{At: m.now, Records: page})
 	if _, there := m.stored[address]; !there {
 		m.stored[address] = n.record
@@ -87,7 +87,7 @@
 	n.update(Ticked{At: m.now})
 }
 
-// linked returns the nodes to which a node has a link that are up.
+// linked returns the running nodes to which a node has a link.
 func (m *model) linked(n *modelNode, near bool) []*modelNode {
 	var out []*modelNode
 	for _, address := range slices.Sorted(func(yield func(string) bool) {
@@ -114,7 +114,7 @@
 			continue
 		}
 		for _, near := range []bool{true, false} {
-			for _, o := range m.linked(n, near) { // Greetings, both ways; known ones change nothing.
+			for _, o := range m.linked(n, near) { // Both ends of a link exchange their records; known ones change nothing.
 				o.update(Heard{At: m.now, Records: []link.Record{n.record}})
 				n.update(Heard{At: m.now, Records: []link.Record{o.record}})
 			}
@@ -123,18 +123,18 @@
 		commands := n.others
 		n.others = nil
 		for _, c := range commands {
-			m.carryOut(n, c)
+			m.execute(n, c)
 		}
 	}
 }
 
-func (m *model) carryOut(n *modelNode, c Command) {
+func (m *model) execute(n *modelNode, c Command) {
 	switch c := c.(type) {
 	case News:
 		some := m.linked(n, true)
 		m.random.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-		audience := int(math.Ceil(math.Log(float64(n.view.Fleet()+1)))) + modelMargin
-		for _, o := range some[:min(len(some), audience)] {
+		recipients := int(math.Ceil(math.Log(float64(n.view.Fleet()+1)))) + modelNewsMargin
+		for _, o := range some[:min(len(some), recipients)] {
 			m.send(n, o, c.Records)
 		}
 	case Compare:
@@ -150,7 +150,7 @@
 	}
 }
 
-// compare plays a comparison and what it brings.
+// compare performs a comparison and the replies that follow from it.
 func (m *model) compare(n, o *modelNode, sums []uint64) {
 	for _, c := range o.view.Update(Compared{At: m.now, Sums: sums}) {
 		switch c := c.(type) {
@@ -171,9 +171,9 @@
 	to.update(Heard{At: m.now, Records: slices.Clone(records)})
 }
 
-// missing returns how many of the pairs of nodes that are up do not know each other, and how
-// many nodes are dialed by fewer than some others.
-func (m *model) missing() (unknown, lonely int) {
+// missing returns how many records of other running nodes are missing at running nodes, in
+// total, and how many running nodes are dialed by fewer than 12 nodes.
+func (m *model) missing() (unknown, underlinked int) {
 	up := 0
 	dialed := map[string]int{}
 	for _, n := range m.nodes {
@@ -196,24 +196,23 @@
 			}
 		}
 		if dialed[n.record.Address] < 12 {
-			lonely++
+			underlinked++
 		}
 	}
-	return unknown, lonely
+	return unknown, underlinked
 }
 
-// after plays some time.
-func (m *model) after(d time.Duration) {
+// advance runs the model for some time.
+func (m *model) advance(d time.Duration) {
 	for end := m.now.Add(d); m.now.Before(end); {
 		m.step()
 	}
 }
 
-// A fleet starts at once, of which the store gives half, and in another run an eighth, in one
-// page. Each node calls the store three times at the most, and within seconds every node
-// knows every other. Half of it is restarted: each finds its record and calls once. A data
-// centre goes and comes back, and newcomers join while it is away.
-func TestModelNodesKnowEachOther(t *testing.T) {
+// All nodes of a fleet start at once, and one page of the store holds all, half or an eighth of
+// them. Within seconds every node must know every other one, with at most three calls to the
+// store per node; likewise after half of the nodes restart and after a data centre was away.
+func TestModelConverges(t *testing.T) {
 	for _, size := range []struct{ nodes, page int }{{20, 500}, {120, 60}, {400, 50}} {
 		m := newModel(size.nodes, size.page)
 		most, sum := 0, 0
@@ -223,10 +222,10 @@
 			sum += m.nodes[address].calls
 		}
 		assert.LessOrEqual(t, most, 3)
-		m.after(8 * time.Second)
-		unknown, lonely := m.missing()
+		m.advance(8 * time.Second)
+		unknown, underlinked := m.missing()
 		assert.Zero(t, unknown, "%d nodes", size.nodes)
-		assert.Zero(t, lonely, "%d nodes: dialed by fewer than a dozen", size.nodes)
+		assert.Zero(t, underlinked, "%d nodes: dialed by fewer than a dozen", size.nodes)
 		t.Logf("%d nodes, %d a page: %.2f calls a node, most %d", size.nodes, size.page, float64(sum)/float64(size.nodes), most)
 
 		for i, address := range m.order {
@@ -235,18 +234,18 @@
 				assert.LessOrEqual(t, m.nodes[address].calls, 2)
 			}
 		}
-		m.after(8 * time.Second)
+		m.advance(8 * time.Second)
 		unknown, _ = m.missing()
 		assert.Zero(t, unknown, "%d nodes, half restarted", size.nodes)
 
 		for _, n := range m.nodes {
 			n.up = n.record.DataCentre != "d1"
 		}
-		m.after(2 * time.Second)
+		m.advance(2 * time.Second)
 		for _, n := range m.nodes {
 			n.up = true
 		}
-		m.after(2 * time.Second)
+		m.advance(2 * time.Second)
 		unknown, _ = m.missing()
 		assert.Zero(t, unknown, "%d nodes, a data centre was away", size.nodes)
 	}
@@ -258,15 +257,15 @@
 	return out
 }
 
-// The store comes back from a copy that lacks the latest starts. Nodes that start then find
-// the others by those that they meet, and are found.
+// The store is restored from a copy that lacks the latest starts. Nodes that start afterwards
+// must find the other nodes through the ones that they connect to, and be found.
 func TestModelRestoredStore(t *testing.T) {
 	m := newModel(100, 500)
 	addresses := m.shuffled()
 	for _, address := range addresses[:80] {
 		m.start(address)
 	}
-	m.after(4 * time.Second)
+	m.advance(4 * time.Second)
 	copied := map[string]link.Record{}
 	for a, r := range m.stored {
 		copied[a] = r
@@ -278,20 +277,20 @@
 	for _, address := range addresses[90:] {
 		m.start(address)
 	}
-	m.after(8 * time.Second)
-	unknown, lonely := m.missing()
+	m.advance(8 * time.Second)
+	unknown, underlinked := m.missing()
 	assert.Zero(t, unknown)
-	assert.Zero(t, lonely)
+	assert.Zero(t, underlinked)
 }
 
-// A late record of a node whose address another one has now, as from a restored store, is
-// heard by some nodes: all agree on the newer one.
-func TestModelAddressIsUsedAgain(t *testing.T) {
+// After an address is reused, some nodes receive the late record of its previous node, as from
+// a restored store: all nodes must keep the newer one.
+func TestModelAddressReuse(t *testing.T) {
 	m := newModel(60, 500)
 	for _, address := range m.order {
 		m.start(address)
 	}
-	m.after(4 * time.Second)
+	m.advance(4 * time.Second)
 	n := m.nodes[m.order[7]]
 	old := n.record
 	n.record.Name, n.record.Service = "other", "s1"
@@ -300,7 +299,7 @@
 	for _, address := range m.order[:5] {
 		m.nodes[address].update(Heard{At: m.now, Records: []link.Record{old}})
 	}
-	m.after(8 * time.Second)
+	m.advance(8 * time.Second)
 	for _, o := range m.nodes {
 		if o != n {
 			known, ok := o.view.Member(n.record.Address)
--- a/membership/view.go
+++ b/membership/view.go
@@ -9,44 +9,44 @@
 	"eiderfold/link"
 )
 
-// goneKept is how long it is remembered that a node is gone: by then all have heard so,
-// and nobody brings its record back.
-const goneKept = 10 * time.Minute
+// goneRetention is how long the record of a gone node is kept: until all nodes have received
+// it, so that none sends its previous record again.
+const goneRetention = 10 * time.Minute
 
-// entry is a node as it is known.
+// entry is the record of another node and the values derived from it.
 type entry struct {
 	link.Record
-	rank       uint64    // Its place in an order that all nodes agree on.
-	preference uint64    // Its place in this node's own order.
-	sum        uint64    // What it adds to the sum of its range.
-	goneSince  time.Time // When it was learned that it is gone.
+	rank       uint64    // Position in an order that is the same at all nodes.
+	preference uint64    // Position in this node's own order of preference.
+	sum        uint64    // Its part of the sum of its range.
+	goneSince  time.Time // When this node learned that it is gone.
 }
 
-// View is what this node knows. It is not safe for concurrent use.
+// View holds this node's records of the fleet. It is not safe for concurrent use.
 type View struct {
-	self     link.Record
-	rank     uint64
-	entries  map[string]*entry // By address; those that are gone among them.
-	services map[string]int    // Nodes of each service that are not gone, this one among them.
-	before   int               // Nodes that come before this one in the order of all.
-	alive    int               // Other nodes that are not gone.
-	sums     [ranges]uint64
-	exchange exchange
-	choice
-}
-
-// New returns the view of a node that knows nobody else.
+	self        link.Record
+	rank        uint64
+	entries     map[string]*entry // By address, including gone nodes.
+	services    map[string]int    // Number of nodes by service, without gone nodes, including this one.
+	preceding   int               // Number of nodes ranked before this one.
+	alive       int               // Number of other nodes that are not gone.
+	sums        [ranges]uint64
+	comparisons compareSchedule
+	selection
+}
+
+// New returns a View without other nodes.
 func New(self link.Record, c Choice) *View {
 	v := &View{self: self, rank: Rank(self.Name), entries: map[string]*entry{}, services: map[string]int{self.Service: 1}}
-	v.choice = newChoice(c, self.DataCentre)
+	v.selection = newSelection(c, self.DataCentre)
 	v.sums[rangeOf(self.Address)] = sumOf(self)
 	return v
 }
 
-// Rank orders nodes by chance, but everywhere alike.
+// Rank returns the rank of a node: pseudo-random, but the same at all nodes.
 func Rank(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Update takes a message and returns what is to be done.
+// Update handles a message and returns the commands that follow from it.
 func (v *View) Update(m Message) []Command {
 	switch m := m.(type) {
 	case Heard:
@@ -67,25 +67,25 @@
 // Self returns this node's own record.
 func (v *View) Self() link.Record { return v.self }
 
-// Fleet returns how many nodes there are, this one among them.
+// Fleet returns the number of nodes, including this one.
 func (v *View) Fleet() int { return v.alive + 1 }
 
-// Gates returns how many nodes a service has.
+// Gates returns the number of nodes of a service.
 func (v *View) Gates(service string) int { return v.services[service] }
 
-// Before returns how many nodes come before this one in the order of all.
-func (v *View) Before() int { return v.before }
+// Before returns the number of nodes that rank before this one.
+func (v *View) Before() int { return v.preceding }
 
-// Place returns this node's place in the order of all, in [0, 1).
-func (v *View) Place() float64 { return (float64(v.before) + 0.5) / float64(v.Fleet()) }
+// Place returns the relative position of this node in the ranking, in [0, 1).
+func (v *View) Place() float64 { return (float64(v.preceding) + 0.5) / float64(v.Fleet()) }
 
-// Precedes tells whether a node comes before this one in the order of all.
+// Precedes reports whether a node ranks before this one.
 func (v *View) Precedes(address string) bool {
 	e := v.entries[address]
 	return e != nil && !e.Gone && e.rank < v.rank
 }
 
-// Member returns a node by its address; false if it is not known or gone.
+// Member returns the node with an address; false if it is unknown or gone.
 func (v *View) Member(address string) (link.Member, bool) {
 	e := v.entries[address]
 	if e == nil || e.Gone {
@@ -103,7 +103,7 @@
 	}
 }
 
-// heard takes what somebody says, and returns what of it is news.
+// heard merges records, and returns News of those worth passing on.
 func (v *View) heard(m Heard) []Command {
 	var out []Command
 	var news []link.Record
@@ -114,7 +114,7 @@
 				news = append(news, v.self)
 				out = append(out, Refute{})
 			}
-		case v.take(m.At, r):
+		case v.merge(m.At, r):
 			news = append(news, r)
 		}
 	}
@@ -124,8 +124,8 @@
 	return out
 }
 
-// refutes takes a higher version if others take this node for gone, or for what was at its
-// address before.
+// refutes reports whether other nodes consider this node gone, or have a record of an earlier
+// node at its address; it then raises the version of this node's record.
 func (v *View) refutes(r link.Record) bool {
 	if !r.Supersedes(v.self) {
 		return false
@@ -137,15 +137,15 @@
 	return true
 }
 
-// take takes another node's record, and reports whether it is news: not that a node is gone
-// which nobody has told of, nor that one was restarted.
-func (v *View) take(at time.Time, r link.Record) bool {
+// merge merges another node's record and reports whether it is worth passing on. The record
+// of a gone node that is unknown here is not, nor is the restart of a node.
+func (v *View) merge(at time.Time, r link.Record) bool {
 	old := v.entries[r.Address]
 	if old == nil && r.Gone || old != nil && !r.Supersedes(old.Record) {
 		return false
 	}
 	if old != nil && !old.Gone && !r.Gone && old.Member == r.Member {
-		v.renew(old, r)
+		v.updateVersion(old, r)
 		return false
 	}
 	if old != nil && !old.Gone {
@@ -159,37 +159,37 @@
 	return true
 }
 
-// renew takes note of a node's next start.
-func (v *View) renew(e *entry, r link.Record) {
+// updateVersion replaces the record of a node that was restarted.
+func (v *View) updateVersion(e *entry, r link.Record) {
 	at := rangeOf(e.Address)
 	v.sums[at] -= e.sum
 	e.Record, e.sum = r, sumOf(r)
 	v.sums[at] += e.sum
 }
 
-// join counts a node that is there.
+// join adds a node that is not gone to the counts, the sums and the selection.
 func (v *View) join(e *entry) {
 	v.alive++
 	v.services[e.Service]++
 	v.sums[rangeOf(e.Address)] += e.sum
 	if e.rank < v.rank {
-		v.before++
+		v.preceding++
 	}
 	v.insert(e)
 }
 
-// leave takes a node out of all counts.
+// leave removes a node from the counts, the sums and the selection.
 func (v *View) leave(e *entry) {
 	v.alive--
 	v.services[e.Service]--
 	v.sums[rangeOf(e.Address)] -= e.sum
 	if e.rank < v.rank {
-		v.before--
+		v.preceding--
 	}
 	v.remove(e)
 }
 
-// unreachable takes a node that was dialed in vain for gone.
+// unreachable marks a node as gone that could not be dialed.
 func (v *View) unreachable(m Unreachable) []Command {
 	e := v.entries[m.Address]
 	if e == nil || e.Gone {
@@ -197,25 +197,25 @@
 	}
 	gone := e.Record
 	gone.Gone = true
-	v.take(m.At, gone)
+	v.merge(m.At, gone)
 	return []Command{News{Records: []link.Record{gone}}}
 }
 
-// ticked brings the links up to date with the choice, and compares what is known with
-// another node when it is time to.
+// ticked updates the links to the selection, and starts a comparison with another node if one
+// is due.
 func (v *View) ticked(at time.Time) []Command {
-	out := v.settle()
-	if v.exchange.due(at) {
+	out := v.reconcile()
+	if v.comparisons.due(at) {
 		v.forgetGone(at)
-		out = append(out, Compare{Sums: slices.Clone(v.sums[:]), Far: v.exchange.far()})
+		out = append(out, Compare{Sums: slices.Clone(v.sums[:]), Far: v.comparisons.far()})
 	}
 	return out
 }
 
-// forgetGone drops what is known of nodes that have been gone for long.
+// forgetGone removes the records of nodes that have been gone for goneRetention.
 func (v *View) forgetGone(at time.Time) {
 	for address, e := range v.entries {
-		if e.Gone && at.Sub(e.goneSince) > goneKept {
+		if e.Gone && at.Sub(e.goneSince) > goneRetention {
 			delete(v.entries, address)
 		}
 	}
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -11,9 +11,9 @@
 	"eiderfold/link"
 )
 
-var begin = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-// fleetOf returns nodes of two services in five data centres.
+// fleetOf returns the records of a fleet with two services in five data centres.
 func fleetOf(size int) []link.Record {
 	var out []link.Record
 	for i := range size {
@@ -23,20 +23,20 @@
 	return out
 }
 
-// dialing carries out what a view wants, and counts what it costs.
-type dialing struct {
+// linkRecorder executes the link commands of a view and counts them.
+type linkRecorder struct {
 	view   *View
 	open   map[string]bool
 	dials  int
 	drops  int
-	others []Command // What is neither.
+	others []Command // Commands other than Dial and Drop.
 }
 
-func newDialing(self link.Record) *dialing {
-	return &dialing{view: New(self, Choice{Near: 24, Far: 24}), open: map[string]bool{}}
+func newLinkRecorder(self link.Record) *linkRecorder {
+	return &linkRecorder{view: New(self, Choice{Near: 24, Far: 24}), open: map[string]bool{}}
 }
 
-func (d *dialing) update(m Message) {
+func (d *linkRecorder) update(m Message) {
 	for _, c := range d.view.Update(m) {
 		switch c := c.(type) {
 		case Dial:
@@ -51,23 +51,21 @@
 	}
 }
 
-// A node of a fleet of two services decided on each record as it came, and never dropped
-// what a later one displaced: it dialed 185 nodes of 300, 299 of 981 and 431 of 4,000, where
-// 24 near and 24 far of each service are meant. However records come, one by one or in
-// pages, it ends with these 96, and with the same ones.
+// Guards against links that accumulate because each record is decided on as it arrives: however
+// records arrive, the same 24 near and 24 far nodes of each of two services must be selected.
 func TestLinksAreChosenFromAll(t *testing.T) {
 	for _, size := range []int{300, 1_000, 4_000, 10_000} {
 		fleet := fleetOf(size)
-		single, paged := newDialing(fleet[0]), newDialing(fleet[0])
+		single, paged := newLinkRecorder(fleet[0]), newLinkRecorder(fleet[0])
 		for i, r := range fleet[1:] {
-			single.update(Heard{At: begin, Records: []link.Record{r}})
+			single.update(Heard{At: startTime, Records: []link.Record{r}})
 			if i%100 == 0 {
-				single.update(Ticked{At: begin})
+				single.update(Ticked{At: startTime})
 			}
 		}
-		paged.update(Heard{At: begin, Records: fleet[1:]})
-		for _, d := range []*dialing{single, paged} {
-			d.update(Ticked{At: begin})
+		paged.update(Heard{At: startTime, Records: fleet[1:]})
+		for _, d := range []*linkRecorder{single, paged} {
+			d.update(Ticked{At: startTime})
 			assert.LessOrEqual(t, len(d.open), 96, "size %d", size)
 			assert.GreaterOrEqual(t, len(d.open), 80, "size %d", size)
 			assert.Equal(t, size, d.view.Fleet())
@@ -77,13 +75,13 @@
 	}
 }
 
-// A data centre is lost and comes back: each node that is gone is replaced by the next in
-// order, and the old choice is made again.
+// A data centre is lost and returns: each gone node must be replaced by the next in order, and
+// the previous selection restored afterwards.
 func TestLinksFollowTheFleet(t *testing.T) {
 	fleet := fleetOf(1_000)
-	d := newDialing(fleet[0])
-	d.update(Heard{At: begin, Records: fleet[1:]})
-	d.update(Ticked{At: begin})
+	d := newLinkRecorder(fleet[0])
+	d.update(Heard{At: startTime, Records: fleet[1:]})
+	d.update(Ticked{At: startTime})
 	before := len(d.open)
 	first := map[string]bool{}
 	for address := range d.open {
@@ -91,10 +89,10 @@
 	}
 	for address := range first {
 		if m, _ := d.view.Member(address); m.DataCentre == "d1" {
-			d.update(Unreachable{At: begin, Address: address})
+			d.update(Unreachable{At: startTime, Address: address})
 		}
 	}
-	d.update(Ticked{At: begin})
+	d.update(Ticked{At: startTime})
 	assert.Len(t, d.open, before)
 	assert.NotEqual(t, first, d.open)
 	var back []link.Record
@@ -104,18 +102,18 @@
 			back = append(back, r)
 		}
 	}
-	d.update(Heard{At: begin, Records: back})
-	d.update(Ticked{At: begin})
+	d.update(Heard{At: startTime, Records: back})
+	d.update(Ticked{At: startTime})
 	assert.Equal(t, first, d.open)
 	assert.Equal(t, 1_000, d.view.Fleet())
 }
 
-// What is needed beside the choice stays, as long as it is known.
+// A link that is needed in addition to the selection must stay while its node is known.
 func TestNeededLinksStay(t *testing.T) {
 	fleet := fleetOf(500)
-	d := newDialing(fleet[0])
-	d.update(Heard{At: begin, Records: fleet[1:]})
-	d.update(Ticked{At: begin})
+	d := newLinkRecorder(fleet[0])
+	d.update(Heard{At: startTime, Records: fleet[1:]})
+	d.update(Ticked{At: startTime})
 	needed := ""
 	for _, r := range fleet[1:] {
 		if !d.open[r.Address] {
@@ -123,10 +121,10 @@
 			break
 		}
 	}
-	d.update(Needed{At: begin, Address: needed})
+	d.update(Needed{At: startTime, Address: needed})
 	require.True(t, d.open[needed])
-	d.update(Heard{At: begin, Records: fleetOf(520)[500:]})
-	d.update(Ticked{At: begin})
+	d.update(Heard{At: startTime, Records: fleetOf(520)[500:]})
+	d.update(Ticked{At: startTime})
 	assert.True(t, d.open[needed])
 	gone := link.Record{Member: fleet[1].Member, Version: 1, Gone: true}
 	for _, r := range fleet {
@@ -134,85 +132,85 @@
 			gone.Member = r.Member
 		}
 	}
-	d.update(Heard{At: begin, Records: []link.Record{gone}})
-	d.update(Ticked{At: begin})
+	d.update(Heard{At: startTime, Records: []link.Record{gone}})
+	d.update(Ticked{At: startTime})
 	assert.False(t, d.open[needed])
 }
 
-// Others take this node for gone, as none of those that dialed it reached it. It says with a
-// higher version that it is there, and all believe that.
+// A node that others consider gone, because none of those that dialed it reached it, must be
+// known again after it refutes that with a higher version.
 func TestNodeRefutesThatItIsGone(t *testing.T) {
 	fleet := fleetOf(3)
-	self, other := newDialing(fleet[0]), newDialing(fleet[1])
-	other.update(Heard{At: begin, Records: fleet})
-	other.update(Unreachable{At: begin, Address: fleet[0].Address})
+	self, other := newLinkRecorder(fleet[0]), newLinkRecorder(fleet[1])
+	other.update(Heard{At: startTime, Records: fleet})
+	other.update(Unreachable{At: startTime, Address: fleet[0].Address})
 	assert.Equal(t, 2, other.view.Fleet())
 	news := other.others[len(other.others)-1].(News)
-	self.update(Heard{At: begin, Records: news.Records})
+	self.update(Heard{At: startTime, Records: news.Records})
 	assert.Contains(t, self.others, Refute{})
-	other.update(Heard{At: begin, Records: self.others[len(self.others)-1].(News).Records})
+	other.update(Heard{At: startTime, Records: self.others[len(self.others)-1].(News).Records})
 	assert.Equal(t, 3, other.view.Fleet())
 	self.others = nil
-	self.update(Heard{At: begin, Records: news.Records})
-	assert.Empty(t, self.others, "the old word says nothing any more")
+	self.update(Heard{At: startTime, Records: news.Records})
+	assert.Empty(t, self.others, "the outdated record has no effect any more")
 }
 
-// A late record of what was at an address before changes nothing, nor does word that a node
-// is gone which nobody has told of; a restart is not passed on.
-func TestOldRecordsChangeNothing(t *testing.T) {
+// A late record of an earlier node at an address must change nothing, nor must the record of a
+// gone node that is unknown here; a restart must not be passed on.
+func TestStaleRecordsIgnored(t *testing.T) {
 	fleet := fleetOf(2)
-	d := newDialing(fleet[0])
+	d := newLinkRecorder(fleet[0])
 	now := fleet[1]
 	now.Version, now.Service = 5, "s1"
-	d.update(Heard{At: begin, Records: []link.Record{now}})
+	d.update(Heard{At: startTime, Records: []link.Record{now}})
 	d.others = nil
 	restarted := now
 	restarted.Version = 6
-	stranger := link.Record{Member: link.Member{Name: "x", Address: "10.9.9.9:1"}, Version: 9, Gone: true}
-	d.update(Heard{At: begin, Records: []link.Record{fleet[1], stranger, restarted}})
+	unknown := link.Record{Member: link.Member{Name: "x", Address: "10.9.9.9:1"}, Version: 9, Gone: true}
+	d.update(Heard{At: startTime, Records: []link.Record{fleet[1], unknown, restarted}})
 	assert.Empty(t, d.others)
 	m, ok := d.view.Member(now.Address)
 	require.True(t, ok)
 	assert.Equal(t, "s1", m.Service)
-	_, ok = d.view.Member(stranger.Address)
+	_, ok = d.view.Member(unknown.Address)
 	assert.False(t, ok)
 }
 
-// BenchmarkLearn reports the processor time to learn a fleet record by record. Counting all
-// that is known at each took 25 ms at 981 nodes and 554 ms at 4,000.
+// BenchmarkLearn measures the processor time to learn a fleet record by record. A scan of all
+// records at each of them would make it quadratic in the size of the fleet.
 func BenchmarkLearn(b *testing.B) {
 	for _, size := range []int{1_000, 4_000} {
 		fleet := fleetOf(size)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
-				d := newDialing(fleet[0])
+				d := newLinkRecorder(fleet[0])
 				for _, r := range fleet[1:] {
-					d.update(Heard{At: begin, Records: []link.Record{r}})
+					d.update(Heard{At: startTime, Records: []link.Record{r}})
 				}
-				d.update(Ticked{At: begin})
+				d.update(Ticked{At: startTime})
 			}
 		})
 	}
 }
 
-// BenchmarkForget reports the processor time to forget 100 nodes that are dialed, which was
-// a scan of all for each: 40 ms at 981 nodes and 761 ms at 4,000.
+// BenchmarkForget measures the processor time to forget 100 dialed nodes. It would grow with the
+// size of the fleet if each of them took a scan of all records.
 func BenchmarkForget(b *testing.B) {
 	for _, size := range []int{1_000, 4_000} {
 		fleet := fleetOf(size)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				d := newDialing(fleet[0])
-				d.update(Heard{At: begin, Records: fleet[1:]})
-				d.update(Ticked{At: begin})
+				d := newLinkRecorder(fleet[0])
+				d.update(Heard{At: startTime, Records: fleet[1:]})
+				d.update(Ticked{At: startTime})
 				b.StartTimer()
 				for range 100 {
 					for address := range d.open {
-						d.update(Unreachable{At: begin, Address: address})
+						d.update(Unreachable{At: startTime, Address: address})
 						break
 					}
-					d.update(Ticked{At: begin})
+					d.update(Ticked{At: startTime})
 				}
 			}
 		})
