--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -16,9 +16,11 @@
 	// immediately. A request that crashes upstreams thus crashes three more in 43 hours.
 	firstPeriod  = 10 * time.Minute
 	periodGrowth = 6
-	// growthLimit is the number of the longest quarantine period: a day and a half.
+	// growthLimit is the count of quarantines from which on the period no longer grows: the
+	// fourth lasts a day and a half.
 	growthLimit = 4
-	// recordLifetime is how long a record is kept after the last crash; it exceeds the longest period.
+	// recordLifetime is how long a record is kept after the last crash: longer than the longest
+	// period.
 	recordLifetime = 48 * time.Hour
 )
 
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -164,8 +164,9 @@
 	return []Command{Refuse{Number: m.Number, After: m.After}}
 }
 
-// lateAnswer handles the answer to a request that was decided without it. A token that was
-// granted is returned to the home, unless another home has been asked since.
+// lateAnswer handles the answer to a request that was decided without it. A granted token is
+// not needed, as a request that was admitted otherwise is accounted for separately; it is
+// returned to the home unless another home has been asked since.
 func (s *Spender) lateAnswer(m Answered) []Command {
 	asked, ok := s.timedOut[m.Number]
 	delete(s.timedOut, m.Number)
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -24,7 +24,7 @@
 	modelTotalTimeout  = 180 * time.Millisecond
 	modelFlushDelay    = 40 * time.Millisecond
 	modelProbeTime     = 40 * time.Millisecond
-	modelDeadLinkTime  = 2500 * time.Millisecond // Until an idle link counts as broken.
+	modelDeadLinkTime  = 2500 * time.Millisecond // Until a link that carries nothing counts as broken.
 	modelPoll          = 2 * time.Millisecond
 	modelPingTimeout   = 30 * time.Millisecond
 	modelCountInterval = 350 * time.Millisecond
