--- a/link/link.go
+++ b/link/link.go
@@ -1,6 +1,6 @@
 // Package link carries messages between two nodes: length-prefixed CBOR over one
-// TCP connection, in both directions. It keeps order, never blocks a sender, and
-// notices within seconds when the other side has gone silent.
+// TCP connection, in both directions. It preserves order, never blocks a sender,
+// and detects an unresponsive peer within seconds.
 //
 // # Usage
 //
@@ -25,39 +25,40 @@
 )
 
 const (
-	// maxFrame bounds a message in bytes: the largest body an operator allows is
-	// 64 MiB, with its header.
+	// maxFrame is the maximum size of a message in bytes: the largest body that the
+	// settings allow is 64 MiB, plus headers.
 	maxFrame = 80 << 20
-	// dialTimeout bounds a connection's making: some hundred round trips.
+	// dialTimeout limits connecting; it allows some hundred round trips.
 	dialTimeout = 1 * time.Second
-	// silence is how long bytes may stay unacknowledged before the connection
-	// counts as broken; several retransmissions fit.
-	silence = 4 * time.Second
-	// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+	// ackTimeout is how long sent bytes may stay unacknowledged before the
+	// connection is considered broken; it allows several retransmissions.
+	ackTimeout = 4 * time.Second
+	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
 	tcpUserTimeout = 0x12
-	// prefixLength is the size in bytes of a message's length, big-endian.
+	// prefixLength is the size in bytes of the big-endian length before a message.
 	prefixLength = 4
-	// bufferBytes is the size of a link's buffers: a dozen messages without content.
+	// bufferBytes is the size of the read and write buffers; it holds a dozen
+	// messages without content.
 	bufferBytes = 4 << 10
 )
 
-// ErrFrameTooLarge says that a peer sent a message over the bound.
+// ErrFrameTooLarge is returned when a peer announces a message larger than maxFrame.
 var ErrFrameTooLarge = errors.New("message too large")
 
 // Link is one connection to another node.
 type Link struct {
-	conn     net.Conn
-	outbox   *outbox
-	closed   chan struct{}
-	once     sync.Once
-	received atomic.Int64 // UnixNano of the last message.
-	ponged   atomic.Int64 // UnixNano of the last reply to a ping.
-	meter    atomic.Pointer[Meter]
+	conn      net.Conn
+	outbox    *outbox
+	closed    chan struct{}
+	closeOnce sync.Once
+	received  atomic.Int64 // UnixNano of the last message.
+	ponged    atomic.Int64 // UnixNano of the last ping reply.
+	meter     atomic.Pointer[Meter]
 }
 
-// Dial connects to a node, from an IP address of this one.
+// Dial connects to a node from the given local IP address.
 func Dial(ctx context.Context, from net.IP, address string) (*Link, error) {
-	d := net.Dialer{Timeout: dialTimeout, KeepAlive: silence / 2, Control: control, LocalAddr: &net.TCPAddr{IP: from}}
+	d := net.Dialer{Timeout: dialTimeout, KeepAlive: ackTimeout / 2, Control: control, LocalAddr: &net.TCPAddr{IP: from}}
 	conn, err := d.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "dial")
@@ -65,23 +66,23 @@
 	return New(conn), nil
 }
 
-// control lets the kernel end a connection whose bytes are not acknowledged.
+// control makes the kernel close a connection whose bytes stay unacknowledged.
 func control(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
-		// A kernel without the option still has the pings to find a dead peer.
-		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silence.Milliseconds()))
+		// Without the option, pings still detect a dead peer.
+		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(ackTimeout.Milliseconds()))
 	})
 }
 
-// New makes a link of a connection.
+// New returns a link over an established connection.
 func New(conn net.Conn) *Link {
 	l := &Link{conn: conn, outbox: newOutbox(), closed: make(chan struct{})}
 	l.received.Store(time.Now().UnixNano())
 	return l
 }
 
-// Send queues a message. It returns false when the link is closed, and closes it
-// when the peer does not keep up.
+// Send queues a message. It returns false if the link is closed. If the outbox is
+// full because the peer does not keep up, Send closes the link.
 func (l *Link) Send(f *Frame) bool {
 	select {
 	case <-l.closed:
@@ -95,31 +96,32 @@
 	return true
 }
 
-// Ping asks the peer for a sign of life; Ponged tells when it came.
+// Ping requests a ping reply from the peer; Ponged returns when the last one arrived.
 func (l *Link) Ping() { l.Send(&Frame{Ping: &Ping{}}) }
 
-// Close ends the link.
+// Close closes the link and its connection. It may be called more than closeOnce.
 func (l *Link) Close() {
-	l.once.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.closed)
-		_ = l.conn.Close() // Nothing more is wanted of it.
+		_ = l.conn.Close() // The connection is not used any more.
 	})
 }
 
-// Closed is closed with the link.
+// Closed returns a channel that is closed when the link is.
 func (l *Link) Closed() <-chan struct{} { return l.closed }
 
-// Received returns when the last message came.
+// Received returns when the last message arrived.
 func (l *Link) Received() time.Time { return time.Unix(0, l.received.Load()) }
 
-// Ponged returns when a ping was last replied to: unlike any other message, it shows that
-// the peer hears as well.
+// Ponged returns when the last ping reply arrived. Unlike any other message, a reply
+// shows that messages reach the peer too.
 func (l *Link) Ponged() time.Time { return time.Unix(0, l.ponged.Load()) }
 
 // Remote returns the peer's address.
 func (l *Link) Remote() string { return l.conn.RemoteAddr().String() }
 
-// Run reads messages until the link ends and says why.
+// Run writes queued messages and passes received ones to handle until the link
+// fails or is closed. It returns the cause.
 func (l *Link) Run(handle func(*Frame)) error {
 	defer l.Close()
 	go l.write()
@@ -142,7 +144,7 @@
 	}
 }
 
-// read takes one message.
+// read reads and decodes one message.
 func read(in *bufio.Reader) (*Frame, error) {
 	var prefix [prefixLength]byte
 	if _, err := io.ReadFull(in, prefix[:]); err != nil {
@@ -152,29 +154,31 @@
 	if n > maxFrame {
 		return nil, errors.WithStack(ErrFrameTooLarge)
 	}
-	text := make([]byte, n)
-	if _, err := io.ReadFull(in, text); err != nil {
+	payload := make([]byte, n)
+	if _, err := io.ReadFull(in, payload); err != nil {
 		return nil, errors.Wrap(err, "read")
 	}
 	f := &Frame{}
-	return f, errors.Wrap(cbor.Unmarshal(text, f), "decode")
+	return f, errors.Wrap(cbor.Unmarshal(payload, f), "decode")
 }
 
-// writers are buffers for writing. A link holds one only while it writes: a node has
-// many links, and most of them rest.
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferBytes) }}
+// writerPool holds write buffers. A link holds one only while it writes, because a
+// node has many links and most of them are idle.
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferBytes) }}
 
-// write sends what waits, several messages in one packet where there are.
+// write sends queued messages until the link is closed, batching those that are
+// queued at the same time.
 func (l *Link) write() {
 	defer l.Close()
 	for {
 		select {
-		case <-l.outbox.filled:
+		case <-l.outbox.ready:
 		case <-l.closed:
 			return
 		}
-		// A message over the buffer is written in part before the flush.
-		_ = l.conn.SetWriteDeadline(time.Now().Add(silence)) // Fails only on a closed connection, as the write does.
+		// Set before encoding: a message larger than the buffer is partly written
+		// before the flush.
+		_ = l.conn.SetWriteDeadline(time.Now().Add(ackTimeout)) // Fails only on a closed connection, as the write then does.
 		if l.send(l.outbox.take()) != nil {
 			return
 		}
@@ -183,30 +187,30 @@
 
 // send encodes messages and writes them.
 func (l *Link) send(frames []*Frame) error {
-	out := writers.Get().(*bufio.Writer)
-	defer writers.Put(out)
+	out := writerPool.Get().(*bufio.Writer)
+	defer writerPool.Put(out)
 	out.Reset(l.conn)
 	for _, f := range frames {
 		n, err := encode(out, f)
 		if err != nil {
 			return err
 		}
-		l.measured(f, n)
+		l.count(f, n)
 	}
 	return errors.Wrap(out.Flush(), "write")
 }
 
-// encode writes one message with its length before it, and returns its size in bytes.
+// encode writes one length-prefixed message and returns its size in bytes, prefix included.
 func encode(out *bufio.Writer, f *Frame) (int, error) {
-	text, err := cbor.Marshal(f)
+	payload, err := cbor.Marshal(f)
 	if err != nil {
 		return 0, errors.Wrap(err, "encode")
 	}
 	var prefix [prefixLength]byte
-	binary.BigEndian.PutUint32(prefix[:], uint32(len(text)))
+	binary.BigEndian.PutUint32(prefix[:], uint32(len(payload)))
 	if _, err := out.Write(prefix[:]); err != nil {
 		return 0, errors.Wrap(err, "write")
 	}
-	_, err = out.Write(text)
-	return prefixLength + len(text), errors.Wrap(err, "write")
+	_, err = out.Write(payload)
+	return prefixLength + len(payload), errors.Wrap(err, "write")
 }
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair returns two ends of one connection.
+// pair returns the two ends of one connection.
 func pair(t *testing.T) (*Link, *Link) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close() //nolint:errcheck // One connection is enough.
+	defer l.Close() //nolint:errcheck // The test needs one connection only.
 	near, err := Dial(t.Context(), net.ParseIP("127.0.0.1"), l.Addr().String())
 	require.NoError(t, err)
 	far, err := l.Accept()
@@ -29,7 +29,7 @@
 	return near, other
 }
 
-// TestOrder sends messages of each kind and reads them in their order, unchanged.
+// TestOrder checks that messages of several kinds arrive unchanged and in order.
 func TestOrder(t *testing.T) {
 	a, b := pair(t)
 	sent := []*Frame{
@@ -43,7 +43,7 @@
 	got := make(chan *Frame, len(sent))
 	go b.Run(func(f *Frame) { got <- f }) //nolint:errcheck // It ends with the test.
 	go a.Run(func(*Frame) {})             //nolint:errcheck // It ends with the test.
-	assert.True(t, a.Send(&Frame{Ping: &Ping{}}), "a ping is answered and not handed on")
+	assert.True(t, a.Send(&Frame{Ping: &Ping{}}), "a ping is answered by the link, not passed to the handler")
 	for _, f := range sent {
 		require.True(t, a.Send(f))
 	}
@@ -53,7 +53,7 @@
 	require.Eventually(t, func() bool { return time.Since(a.Received()) < time.Minute }, 5*time.Second, time.Millisecond)
 }
 
-// TestClosed says so to senders, and ends the other side.
+// TestClosed checks that closing one end closes the other and makes Send fail on both.
 func TestClosed(t *testing.T) {
 	a, b := pair(t)
 	ended := make(chan error, 1)
@@ -65,7 +65,8 @@
 	assert.False(t, b.Send(&Frame{}))
 }
 
-// TestPeerThatDoesNotRead is given up instead of blocking its senders.
+// TestPeerThatDoesNotRead checks that a link to a stalled peer is closed instead of
+// blocking its senders.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	a, _ := pair(t)
 	go a.Run(func(*Frame) {}) //nolint:errcheck // It ends with the link.
@@ -76,12 +77,12 @@
 			return
 		}
 	}
-	t.Fatal("still open")
+	t.Fatal("the link to a stalled peer is still open")
 }
 
-// TestLargeAfterRest sends a message over the buffer on a link whose last write is
-// long ago.
-func TestLargeAfterRest(t *testing.T) {
+// TestLargeMessageAfterIdle checks that a message larger than the buffer is sent
+// although the write deadline of the previous write has passed.
+func TestLargeMessageAfterIdle(t *testing.T) {
 	a, b := pair(t)
 	got := make(chan *Frame, 1)
 	go b.Run(func(f *Frame) { got <- f }) //nolint:errcheck // It ends with the test.
@@ -97,7 +98,8 @@
 	}
 }
 
-// TestTooLarge refuses a message by its announced length, before reading it.
+// TestTooLarge checks that a message is rejected by its announced length, before it
+// is read.
 func TestTooLarge(t *testing.T) {
 	var prefix [prefixLength]byte
 	binary.BigEndian.PutUint32(prefix[:], maxFrame+1)
@@ -105,17 +107,17 @@
 	assert.ErrorIs(t, err, ErrFrameTooLarge)
 }
 
-// FuzzRead feeds arbitrary bytes: they are a message or an error.
+// FuzzRead checks that arbitrary bytes yield a message or an error, not a panic.
 func FuzzRead(f *testing.F) {
-	text, err := cbor.Marshal(&Frame{Offer: &Offer{Key: Key{1, 2}}})
+	payload, err := cbor.Marshal(&Frame{Offer: &Offer{Key: Key{1, 2}}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(append([]byte{0, 0, 0, byte(len(text))}, text...))
+	f.Add(append([]byte{0, 0, 0, byte(len(payload))}, payload...))
 	f.Add([]byte{0, 0, 0, 1, 0xff})
 	f.Fuzz(func(t *testing.T, input []byte) {
 		if len(input) > 4 && binary.BigEndian.Uint32(input) > 1<<20 {
-			return // The length is announced; the bytes would not come.
+			return // Avoids large allocations for an announced length.
 		}
 		m, err := read(bufio.NewReader(bytes.NewReader(input)))
 		if err == nil {
--- a/link/message.go
+++ b/link/message.go
@@ -8,7 +8,7 @@
 	"eiderfold/quarantine"
 )
 
-// Key names one offer of one request: the process that made it and its number.
+// Key identifies one offer of a request: the process that made it and its number there.
 type Key struct {
 	Origin uint64 `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
@@ -17,68 +17,68 @@
 // String returns the key for logs.
 func (k Key) String() string { return fmt.Sprintf("%x-%d", k.Origin, k.Number) }
 
-// Content is a request as it goes to the upstream.
+// Content is a request as it is sent to the upstream.
 type Content struct {
 	Method string              `cbor:"1,keyasint"`
-	Target string              `cbor:"2,keyasint"` // The request line's target, as the caller sent it.
+	Target string              `cbor:"2,keyasint"` // Request target, as the caller sent it.
 	Host   string              `cbor:"3,keyasint"`
 	Header map[string][]string `cbor:"4,keyasint"`
 	Body   []byte              `cbor:"5,keyasint,omitempty"`
 }
 
-// Offer asks a gate for a slot.
+// Offer requests a slot at a gate.
 type Offer struct {
 	Key           Key           `cbor:"1,keyasint"`
-	Attempt       string        `cbor:"2,keyasint"` // The caller's name for the request.
+	Attempt       string        `cbor:"2,keyasint"` // The caller's identifier of this attempt.
 	Service       string        `cbor:"3,keyasint"`
-	Upstream      string        `cbor:"4,keyasint,omitempty"` // The incarnation that is meant.
+	Upstream      string        `cbor:"4,keyasint,omitempty"` // ID of the intended upstream; "" for any.
 	CallerService string        `cbor:"5,keyasint"`
-	Left          time.Duration `cbor:"6,keyasint"` // Until the deadline.
+	Left          time.Duration `cbor:"6,keyasint"` // Time until the deadline.
 	Priority      int           `cbor:"7,keyasint,omitempty"`
 	Retryable     bool          `cbor:"8,keyasint,omitempty"`
-	Force         bool          `cbor:"9,keyasint,omitempty"`  // Too few gates are open: on trial, take it though it may run only once.
-	Content       *Content      `cbor:"10,keyasint,omitempty"` // With it, a free slot starts at once.
-	Aim           time.Duration `cbor:"11,keyasint,omitempty"` // Until the answer loses most of its worth, under 0 if it has; 0 for the deadline.
-	Claim         budget.Claim  `cbor:"12,keyasint,omitempty"` // By what right it starts, if it repeats another.
-	Kind          uint32        `cbor:"13,keyasint,omitempty"` // Requests of one kind take about the same time.
-	Account       string        `cbor:"14,keyasint,omitempty"` // The client account for which it is made.
-	// Record is what is known of the request, if an upstream has ended under it.
+	Force         bool          `cbor:"9,keyasint,omitempty"`  // Too few gates are open: a gate on trial accepts it even if it is not retryable.
+	Content       *Content      `cbor:"10,keyasint,omitempty"` // If set and a slot is free at once, the request starts without a commit.
+	Aim           time.Duration `cbor:"11,keyasint,omitempty"` // Time until the target deadline, negative if it has passed; 0 to use the deadline.
+	Claim         budget.Claim  `cbor:"12,keyasint,omitempty"` // Kind of the attempt: first, charged, failure retry or hedge.
+	Kind          uint32        `cbor:"13,keyasint,omitempty"` // Groups requests with similar response times.
+	Account       string        `cbor:"14,keyasint,omitempty"` // The client account it is made for.
+	// Record is the quarantine record of the request, if an upstream crashed while running it.
 	Record *quarantine.Record `cbor:"15,keyasint,omitempty"`
 }
 
-// Granted says that a slot is held for the offer. The gate waits for the commit,
-// or has started if the offer came with its content.
+// Granted reports that a slot is reserved for the offer. The gate waits for the
+// commit, or has started the request if the offer carried its content.
 type Granted struct {
 	Key     Key  `cbor:"1,keyasint"`
 	Started bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Queued says that the offer waits for a slot.
+// Queued reports that the offer waits in the gate's queue for a slot.
 type Queued struct {
 	Key Key `cbor:"1,keyasint"`
 }
 
-// Reason tells why an offer was refused.
+// Reason is why an offer was refused.
 type Reason uint8
 
 // Reasons of a refusal.
 const (
 	ReasonNone         Reason = iota
-	ReasonClosed              // The gate takes no work: unknown, leaving or stopping.
-	ReasonTrial               // It is on trial, and the offer is none that it takes.
-	ReasonBusy                // No slot comes free in time.
-	ReasonMisdirected         // Another service or upstream is meant.
-	ReasonNotConnected        // The upstream took no connection.
-	ReasonShed                // The upstream said that it did not run it.
-	ReasonNeverSeen           // Asked for, and not known: it did not start and never will.
+	ReasonClosed              // The gate accepts no requests: its upstream is unknown or leaving, or it is stopping or evacuated.
+	ReasonTrial               // The gate is on trial and does not accept this offer.
+	ReasonBusy                // No slot will be free in time.
+	ReasonMisdirected         // The offer is for another service or upstream, or was received before.
+	ReasonNotConnected        // The upstream accepted no connection.
+	ReasonShed                // The upstream reported that it did not run the request.
+	ReasonNeverSeen           // The gate has no record of the offer: it did not start and never will.
 	ReasonExpired             // The deadline passed before it started.
-	ReasonBudget              // It repeats another, and the fleet has no repeats left here.
-	ReasonQuarantined         // Upstreams end under it.
+	ReasonBudget              // The offer is a retry or hedge, and the gate's retry budget is exhausted.
+	ReasonQuarantined         // The request is quarantined because upstreams crash while running it.
 )
 
 var reasonNames = [...]string{"none", "closed", "trial", "busy", "misdirected", "not-connected", "shed", "never-seen", "expired", "budget", "quarantined"}
 
-// String returns the reason's name.
+// String returns the reason's name, or "unknown".
 func (r Reason) String() string {
 	if int(r) < len(reasonNames) {
 		return reasonNames[r]
@@ -86,11 +86,11 @@
 	return "unknown"
 }
 
-// Refused says that the offer has not run and never will.
+// Refused reports that the offer has not run and never will.
 type Refused struct {
 	Key    Key           `cbor:"1,keyasint"`
 	Reason Reason        `cbor:"2,keyasint"`
-	After  time.Duration `cbor:"3,keyasint,omitempty"` // When to come back, 0 for no advice.
+	After  time.Duration `cbor:"3,keyasint,omitempty"` // When to retry, 0 for no advice.
 }
 
 // Commit starts a granted offer.
@@ -98,55 +98,55 @@
 	Key     Key           `cbor:"1,keyasint"`
 	Left    time.Duration `cbor:"2,keyasint"`
 	Content *Content      `cbor:"3,keyasint"`
-	Repeat  bool          `cbor:"4,keyasint,omitempty"` // The run repeats another.
+	Repeat  bool          `cbor:"4,keyasint,omitempty"` // This run is a retry or hedge of another attempt.
 }
 
-// Withdraw gives an offer up. What runs already is broken off if it is retryable.
+// Withdraw cancels an offer. A request that already runs is aborted if it is retryable.
 type Withdraw struct {
 	Key Key `cbor:"1,keyasint"`
 }
 
-// Answer is an upstream's whole answer.
+// Answer carries an upstream's complete response.
 type Answer struct {
 	Key    Key                 `cbor:"1,keyasint"`
 	Status int                 `cbor:"2,keyasint"`
 	Header map[string][]string `cbor:"3,keyasint"`
 	Body   []byte              `cbor:"4,keyasint,omitempty"`
-	Usual  time.Duration       `cbor:"5,keyasint,omitempty"` // Mean time of the gate's answers.
+	Usual  time.Duration       `cbor:"5,keyasint,omitempty"` // Mean response time at the gate.
 }
 
-// Failed says that the request may have run and that no answer came of it.
+// Failed reports that the request may have run and that no response was received.
 type Failed struct {
 	Key    Key    `cbor:"1,keyasint"`
 	Detail string `cbor:"2,keyasint"`
-	// Record is what is known of the request, if its upstream ended under it.
+	// Record is the quarantine record of the request, if its upstream crashed while running it.
 	Record *quarantine.Record `cbor:"3,keyasint,omitempty"`
 }
 
-// Silent says that a started attempt is far later than answers of its kind are: a
-// repeat elsewhere is worth more than its wait.
+// Silent reports that a started attempt takes far longer than responses of its kind
+// usually do, so that a retry elsewhere is better than waiting.
 type Silent struct {
 	Key Key `cbor:"1,keyasint"`
 }
 
-// Ask wants to know what became of a committed offer after a link broke.
+// Ask requests the outcome of a committed offer after a link broke.
 type Ask struct {
 	Key Key `cbor:"1,keyasint"`
 }
 
-// Mode is how a gate takes work.
+// Mode is how a gate admits requests.
 type Mode uint8
 
 // Modes of a gate.
 const (
-	ModeClosed Mode = iota // Nothing.
-	ModeTrial              // Few retryable requests, more with each good answer.
-	ModeOpen               // As much as there are slots.
+	ModeClosed Mode = iota // Admits nothing.
+	ModeTrial              // Admits few retryable requests, more with each good response.
+	ModeOpen               // Admits as many requests as there are slots.
 )
 
 var modeNames = [...]string{"closed", "trial", "open"}
 
-// String returns the mode's name.
+// String returns the mode's name, or "unknown".
 func (m Mode) String() string {
 	if int(m) < len(modeNames) {
 		return modeNames[m]
@@ -154,38 +154,38 @@
 	return "unknown"
 }
 
-// Status is a gate's word about itself.
+// Status is what a gate reports about itself.
 type Status struct {
 	Mode     Mode          `cbor:"1,keyasint"`
 	Upstream string        `cbor:"2,keyasint,omitempty"`
 	Slots    int           `cbor:"3,keyasint,omitempty"`
-	Usual    time.Duration `cbor:"4,keyasint,omitempty"` // Mean time of its answers.
-	Suspect  float64       `cbor:"5,keyasint,omitempty"` // What speaks against its upstream; for a forced choice.
+	Usual    time.Duration `cbor:"4,keyasint,omitempty"` // Mean response time.
+	Suspect  float64       `cbor:"5,keyasint,omitempty"` // Evidence against its upstream, used to rank gates.
 }
 
-// Hello opens a link in both directions.
+// Hello is the first message of each side of a link.
 type Hello struct {
 	Member  Member `cbor:"1,keyasint"`
 	Process uint64 `cbor:"2,keyasint"` // Differs after a restart.
-	Version uint64 `cbor:"3,keyasint"` // Of the configuration it has; 0 for none.
+	Version uint64 `cbor:"3,keyasint"` // Version of the sender's configuration; 0 for none.
 	Status  Status `cbor:"4,keyasint"`
-	// Operator is what is known of the operators' wishes; nil for nothing.
+	// Operator is the operator state that the sender has; nil for none.
 	Operator *Operator `cbor:"5,keyasint,omitempty"`
-	// Born is the version of the sender's own record.
+	// Born is the version of the sender's own membership record.
 	Born uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Record returns the sender's own record.
+// Record returns the sender's own membership record.
 func (h *Hello) Record() Record { return Record{Member: h.Member, Version: h.Born} }
 
-// Operator is what operators wish, beside the configuration, as of a moment of the store.
+// Operator is the operator state beside the configuration, as of a store revision.
 type Operator struct {
 	Era       uint64   `cbor:"1,keyasint,omitempty"`
 	Revision  uint64   `cbor:"2,keyasint"`
-	Evacuated []string `cbor:"3,keyasint,omitempty"` // Data centres whose upstreams are to get nothing.
+	Evacuated []string `cbor:"3,keyasint,omitempty"` // Data centres whose upstreams get no requests.
 }
 
-// Member is a node as others need to know it.
+// Member identifies a node and its service to other nodes.
 type Member struct {
 	Name       string `cbor:"1,keyasint" json:"name"`
 	Address    string `cbor:"2,keyasint" json:"address"` // IP:port for links.
@@ -193,53 +193,53 @@
 	Service    string `cbor:"4,keyasint" json:"service"`
 }
 
-// Configuration carries a configuration, or only its version to say it exists.
+// Configuration carries a configuration, or only its version to announce or request it.
 type Configuration struct {
 	Version uint64 `cbor:"1,keyasint"`
-	Packed  []byte `cbor:"2,keyasint,omitempty"` // Its text, compressed.
-	Want    bool   `cbor:"3,keyasint,omitempty"` // The sender wants the text.
+	Packed  []byte `cbor:"2,keyasint,omitempty"` // The text, compressed.
+	Want    bool   `cbor:"3,keyasint,omitempty"` // The sender requests the text.
 }
 
-// Ping asks for a sign of life.
+// Ping requests a ping reply, or is one.
 type Ping struct {
 	Reply bool `cbor:"1,keyasint,omitempty"`
 }
 
-// LimitAsk asks an account's home for a token.
+// LimitAsk requests a token from a client account's home node.
 type LimitAsk struct {
-	Number  uint64 `cbor:"1,keyasint"` // The sender's name for the request.
+	Number  uint64 `cbor:"1,keyasint"` // The sender's number for the request.
 	Account string `cbor:"2,keyasint"`
-	Spent   int    `cbor:"3,keyasint,omitempty"` // Tokens spent without a home and not reported yet.
-	Hops    int    `cbor:"4,keyasint,omitempty"` // How many nodes have passed it on.
+	Spent   int    `cbor:"3,keyasint,omitempty"` // Tokens spent without a home node and not reported yet.
+	Hops    int    `cbor:"4,keyasint,omitempty"` // How many nodes have forwarded it.
 }
 
-// LimitAnswer is a home's word on a request.
+// LimitAnswer is a home node's reply to LimitAsk.
 type LimitAnswer struct {
 	Number  uint64        `cbor:"1,keyasint"`
 	Granted bool          `cbor:"2,keyasint,omitempty"`
-	Unknown bool          `cbor:"3,keyasint,omitempty"` // The sender reaches no home itself.
-	After   time.Duration `cbor:"4,keyasint,omitempty"` // When to come back, where it is not granted.
+	Unknown bool          `cbor:"3,keyasint,omitempty"` // The sender is not the home and cannot reach it, or does not have the account.
+	After   time.Duration `cbor:"4,keyasint,omitempty"` // When to retry, if not granted.
 }
 
-// LimitReport tells a home of tokens that were spent without it, or come back.
+// LimitReport reports tokens to a home node that were spent without it or are returned.
 type LimitReport struct {
 	Account string `cbor:"1,keyasint"`
-	Count   int    `cbor:"2,keyasint"` // Under 0 for tokens that come back.
+	Count   int    `cbor:"2,keyasint"` // Negative for returned tokens.
 }
 
-// LimitProbe asks whether the receiver reaches a node.
+// LimitProbe asks whether the receiver can reach a node.
 type LimitProbe struct {
 	Address string `cbor:"1,keyasint"`
 }
 
-// LimitReached says whether the sender reaches the node that it was asked about.
+// LimitReached is the reply to LimitProbe: whether the sender can reach the node.
 type LimitReached struct {
 	Address string `cbor:"1,keyasint"`
 	Reached bool   `cbor:"2,keyasint,omitempty"`
 }
 
-// LimitClaim says that the sender is the home of an account for which the receiver may
-// have stood in.
+// LimitClaim reports that the sender is the home node of an account for which the
+// receiver may have acted as home.
 type LimitClaim struct {
 	Record Record `cbor:"1,keyasint"`
 }
@@ -259,7 +259,7 @@
 	Ask           *Ask           `cbor:"11,keyasint,omitempty"`
 	Configuration *Configuration `cbor:"12,keyasint,omitempty"`
 	Ping          *Ping          `cbor:"13,keyasint,omitempty"`
-	Records       []Record       `cbor:"14,keyasint,omitempty"` // Of nodes.
+	Records       []Record       `cbor:"14,keyasint,omitempty"` // Membership records.
 	Silent        *Silent        `cbor:"15,keyasint,omitempty"`
 	LimitAsk      *LimitAsk      `cbor:"16,keyasint,omitempty"`
 	LimitAnswer   *LimitAnswer   `cbor:"17,keyasint,omitempty"`
@@ -267,10 +267,10 @@
 	LimitProbe    *LimitProbe    `cbor:"19,keyasint,omitempty"`
 	LimitReached  *LimitReached  `cbor:"20,keyasint,omitempty"`
 	LimitClaim    *LimitClaim    `cbor:"21,keyasint,omitempty"`
-	// Quarantine is what is known of requests that end upstreams.
+	// Quarantine holds records of requests that crash upstreams.
 	Quarantine []quarantine.Record `cbor:"22,keyasint,omitempty"`
 	Operator   *Operator           `cbor:"23,keyasint,omitempty"`
 	Digest     *Digest             `cbor:"24,keyasint,omitempty"`
-	// Packed is many records of nodes, compressed.
+	// Packed holds many membership records, compressed.
 	Packed []byte `cbor:"25,keyasint,omitempty"`
 }
--- a/link/meter.go
+++ b/link/meter.go
@@ -1,19 +1,20 @@
 package link
 
-// Meter is told of every message that a link has written, with its size in bytes.
+// Meter is called for every message that a link has encoded for writing, with its
+// kind and its size in bytes.
 type Meter func(kind string, bytes int)
 
-// Measure has a link's messages counted from now on.
+// Measure sets the meter for all messages sent from now on.
 func (l *Link) Measure(m Meter) { l.meter.Store(&m) }
 
-// measured tells the meter, if there is one.
-func (l *Link) measured(f *Frame, bytes int) {
+// count reports a message to the meter, if one is set.
+func (l *Link) count(f *Frame, bytes int) {
 	if m := l.meter.Load(); m != nil {
 		(*m)(f.kind(), bytes)
 	}
 }
 
-// kind names what a message carries, for counters.
+// kind returns the metric name of what a message carries.
 func (f *Frame) kind() string {
 	switch {
 	case f.Hello != nil:
--- a/link/outbox.go
+++ b/link/outbox.go
@@ -2,21 +2,21 @@
 
 import "sync"
 
-// outboxLength is how many messages may wait for a slow peer before the link is
-// given up; at a thousand requests a second that is some seconds' worth.
+// outboxLength is how many messages may be queued for a slow peer before the link is
+// closed; at a thousand requests a second that is a few seconds' worth.
 const outboxLength = 4096
 
-// outbox holds messages for the goroutine that writes them. It grows with what
-// waits: a channel would hold its whole length for every link of a node.
+// outbox queues messages for the writing goroutine. It grows on demand: a channel
+// would allocate its full capacity for every link.
 type outbox struct {
-	filled chan struct{} // Has an element while messages wait.
+	ready  chan struct{} // Has an element while messages are queued.
 	mu     sync.Mutex
 	frames []*Frame
 }
 
-func newOutbox() *outbox { return &outbox{filled: make(chan struct{}, 1)} }
+func newOutbox() *outbox { return &outbox{ready: make(chan struct{}, 1)} }
 
-// put adds a message; false if too many wait.
+// put queues a message. It returns false if the outbox is full.
 func (o *outbox) put(f *Frame) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -25,13 +25,13 @@
 	}
 	o.frames = append(o.frames, f)
 	select {
-	case o.filled <- struct{}{}:
-	default: // It is told already.
+	case o.ready <- struct{}{}:
+	default: // The writer is already notified.
 	}
 	return true
 }
 
-// take returns all messages that wait, in their order.
+// take removes and returns all queued messages in order.
 func (o *outbox) take() []*Frame {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/link/outbox_test.go
+++ b/link/outbox_test.go
@@ -6,15 +6,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestOutbox keeps order and its bound, and holds nothing while nothing waits.
+// TestOutbox checks that the outbox keeps order, enforces its limit and holds no
+// memory while it is empty.
 func TestOutbox(t *testing.T) {
 	o := newOutbox()
 	for range 2 {
 		for i := range outboxLength {
 			assert.True(t, o.put(&Frame{Offer: &Offer{Priority: i}}))
 		}
-		assert.False(t, o.put(&Frame{}), "no more than the bound")
-		<-o.filled
+		assert.False(t, o.put(&Frame{}), "accepted a message over the limit")
+		<-o.ready
 		frames := o.take()
 		assert.Len(t, frames, outboxLength)
 		for i, f := range frames {
@@ -25,15 +26,15 @@
 	}
 }
 
-// TestRestingLinkHoldsLittle bounds what a link keeps while nothing is sent: a node
-// has hundreds of them. A buffer for reading is the largest part.
-func TestRestingLinkHoldsLittle(t *testing.T) {
-	const mostBytes = 2 << 10
-	made := testing.Benchmark(func(b *testing.B) {
+// TestIdleLinkMemory limits the memory of an idle link, since a node has hundreds
+// of links.
+func TestIdleLinkMemory(t *testing.T) {
+	const maxBytes = 2 << 10
+	result := testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
 		for range b.N {
 			New(nil)
 		}
 	})
-	assert.Less(t, made.AllocedBytesPerOp(), int64(mostBytes))
+	assert.Less(t, result.AllocedBytesPerOp(), int64(maxBytes))
 }
