--- a/port/mesh.go
+++ b/port/mesh.go
@@ -11,43 +11,45 @@
 	"eiderfold/route"
 )
 
-// Errors of a Directory, beside those of a Store.
+// Errors of a Directory, in addition to those of a Store.
 var (
-	// ErrCompacted says that the history a watch asked for is gone.
+	// ErrCompacted is returned if the store no longer has the history that a watch needs.
 	ErrCompacted = errors.New("history is gone")
-	// ErrConflict says that a condition of a write did not hold.
+	// ErrConflict is returned if the condition of a write did not hold.
 	ErrConflict = errors.New("condition does not hold")
 )
 
-// Platform is what a node of `eiderfold mesh` needs of the platform it runs on.
+// Platform holds what a node of `eiderfold mesh` needs from the platform it runs on.
 type Platform struct {
 	Store            Directory
 	Dialect          Dialect
 	ConfigurationKey string
-	// OperatorPrefix is where all that operators write is, the configuration among it.
+	// OperatorPrefix is the prefix of all keys that operators write, including the
+	// configuration.
 	OperatorPrefix string
-	// EvacuationPrefix is where a key for each data centre is that is to be evacuated.
+	// EvacuationPrefix is the prefix of the evacuation keys, one for each data centre
+	// to be evacuated.
 	EvacuationPrefix string
 	ReadinessPath    string
-	// DecodeConfiguration reads the operator's configuration.
+	// DecodeConfiguration decodes the operators' configuration.
 	DecodeConfiguration func(text []byte) (route.Document, error)
-	// IsReport tells whether a request is an upstream's report of itself.
+	// IsReport reports whether a request is an upstream's report about itself.
 	IsReport func(r *http.Request) bool
-	// DecodeReport reads such a report; its errors are the sender's.
+	// DecodeReport decodes such a report. An error means that the report is invalid.
 	DecodeReport func(r *http.Request) (Report, error)
-	// AcknowledgeReport answers a report that was taken.
+	// AcknowledgeReport responds to an accepted report.
 	AcknowledgeReport func(w http.ResponseWriter)
 }
 
-// Moment is a state of the store. Its revision grows with each change; a store that is
-// restored from an older copy begins another era, in which revisions go back and are given
-// out again.
+// Moment is a store revision. The revision number grows with each change; a store that is
+// restored from an older copy starts a new era, in which revision numbers start lower and
+// are reused.
 type Moment struct {
 	Era      uint64
 	Revision uint64
 }
 
-// Before tells whether the moment is older than another one.
+// Before reports whether m is older than o.
 func (m Moment) Before(o Moment) bool {
 	if m.Era != o.Era {
 		return m.Era < o.Era
@@ -55,80 +57,80 @@
 	return m.Revision < o.Revision
 }
 
-// Directory is a store with short watches, as `eiderfold mesh` needs it.
+// Directory is the key-value store of `eiderfold mesh`, with watches of limited duration.
 type Directory interface {
-	// Get reads a key and the store's moment. It returns ErrMissing.
+	// Get reads a key and the store revision. It returns ErrMissing if there is no such key.
 	Get(ctx context.Context, key string) (Entry, Moment, error)
-	// Range reads everything below a prefix, in the order of the keys.
+	// Range reads everything below a prefix, in key order.
 	Range(ctx context.Context, prefix string) ([]Entry, Moment, error)
-	// Page reads what follows a key below a prefix, as much as the store gives at once, and
-	// tells whether there is more.
+	// Page reads one page of the entries below a prefix that follow the key after, and
+	// reports whether there are more. The store determines the size of the page.
 	Page(ctx context.Context, prefix, after string) ([]Entry, bool, Moment, error)
-	// Peek reads everything below a prefix as it was some seconds ago at the most, for a
-	// tenth of the price.
+	// Peek is a stale read of everything below a prefix: the result is at
+	// most a few seconds old. It costs a tenth of a Range.
 	Peek(ctx context.Context, prefix string) ([]Entry, Moment, error)
-	// Watch waits for what was written or removed below prefix after a moment. It returns
-	// ErrCompacted when that is no longer known.
+	// Watch waits up to wait for changes below prefix after a store revision, and returns
+	// them. It returns ErrCompacted if that history is no longer available.
 	Watch(ctx context.Context, prefix string, after Moment, wait time.Duration) ([]Entry, Moment, error)
-	// Put writes a key, whatever was there before.
+	// Put writes a key unconditionally.
 	Put(ctx context.Context, key string, value []byte) error
 	// Remove deletes a key.
 	Remove(ctx context.Context, key string) error
 }
 
-// RequestTerms is what a caller says about its request.
+// RequestTerms holds the metadata that a caller sends with a request.
 type RequestTerms struct {
-	Attempt   string        // Names this try of the caller; a repeat has another.
-	Parent    string        // The attempt for which it is made, where the name tells one.
-	Patience  time.Duration // How long the caller waits from now; 0 if it does not say.
-	Malformed bool          // A header of ours cannot be read.
-	Key       string        // Of a client account; "" if the caller shows none that can be read.
+	Attempt   string        // Identifies this attempt of the caller; each retry has another one.
+	Parent    string        // For a nested request, the parent's attempt, if Attempt names it.
+	Patience  time.Duration // The caller's timeout from now; 0 if not sent.
+	Malformed bool          // A header that eiderfold defines cannot be parsed.
+	Key       string        // Key of a client account; "" if missing or malformed.
 }
 
-// OutgoingTerms is what an upstream is told about a request.
+// OutgoingTerms holds the metadata that is sent to an upstream with a request.
 type OutgoingTerms struct {
-	Left          time.Duration // Until the request's deadline.
-	Upstream      string        // The incarnation that shall run it.
-	CallerService string        // The service beside which the request started.
-	Account       string        // The client account for which it was made, "" if none.
+	Left          time.Duration // Time until the request's deadline.
+	Upstream      string        // ID of the upstream that is to run it.
+	CallerService string        // The service of the node where the request arrived.
+	Account       string        // The client account it is made for; "" if none.
 }
 
-// AnswerTerms is what an upstream says about its answer.
+// AnswerTerms holds the metadata that an upstream sends with a response.
 type AnswerTerms struct {
 	Attempt  string // The request it belongs to.
-	Upstream string // The incarnation that answered, where it says so.
+	Upstream string // ID of the upstream that responded; "" if not sent.
 	NotRun   bool   // The request was refused and has not run.
-	Genuine  bool   // The answer was made by an upstream's work.
+	Genuine  bool   // The response is marked as an upstream's own.
 	Load     Load
-	ColdLeft time.Duration // How much longer it is cold.
+	ColdLeft time.Duration // How much longer the upstream is cold.
 }
 
-// Load is how busy an upstream says it is; Slots is 0 if it does not say.
+// Load is the load that an upstream reports, in requests; Slots is 0 if it reports none.
 type Load struct{ Running, Waiting, Slots int }
 
-// Dialect translates headers of requests and answers.
+// Dialect reads and writes the platform's headers of requests and responses.
 type Dialect interface {
-	// AttemptHeader is the canonical name of the header that names the attempt.
+	// AttemptHeader returns the canonical name of the header that identifies the attempt.
 	AttemptHeader() string
-	// Request reads what a caller says.
+	// Request reads a caller's metadata.
 	Request(h http.Header) RequestTerms
-	// Conceal takes out what only the node may see that took the request from its caller,
-	// and what a caller may not say of itself.
+	// Conceal removes headers that only the node that received the request from its caller
+	// may see, and headers that callers may not set.
 	Conceal(h http.Header)
-	// SetOutgoing writes what the upstream is told, over whatever the caller sent.
+	// SetOutgoing writes the metadata for the upstream, replacing headers of the caller.
 	SetOutgoing(h http.Header, t OutgoingTerms)
-	// Answer reads what an upstream says.
+	// Answer reads the metadata of an upstream's response.
 	Answer(status int, h http.Header) AnswerTerms
 }
 
-// Incarnation is one start of an upstream. A later start may have the same id; what it
-// holds and what it counts begin anew.
+// Incarnation identifies one run of an upstream, from start to exit. A later run may have
+// the same ID, but shares no state or counters with an earlier one.
 type Incarnation struct {
 	ID   string // "" for none.
-	Born int64  // Unix milliseconds of the start, by the upstream's clock; 0 if it does not say.
+	Born int64  // Start time in Unix milliseconds by the upstream's clock; 0 if not reported.
 }
 
-// String returns a name that no other incarnation has, for logs and keys.
+// String returns a unique name of the incarnation, for logs and keys.
 func (i Incarnation) String() string {
 	if i.Born == 0 {
 		return i.ID
@@ -136,19 +138,19 @@
 	return i.ID + "@" + strconv.FormatInt(i.Born, 10)
 }
 
-// Before tells whether the incarnation is known to have started before another one.
+// Before reports whether i is known to have started before o.
 func (i Incarnation) Before(o Incarnation) bool {
 	return i.Born != 0 && o.Born != 0 && i.Born < o.Born
 }
 
-// Report is an upstream's word about itself.
+// Report is what an upstream reports about itself.
 type Report struct {
 	Incarnation
 	Service  string
 	Address  string
 	Slots    int
-	ColdLeft time.Duration // How much longer it is slow after its start.
-	Sequence uint64        // Grows with each report of an incarnation; 0 in a final one.
-	Leaving  bool          // It takes no new work.
-	Final    bool          // It is about to end.
+	ColdLeft time.Duration // How much longer it is cold, that is, slow after its start.
+	Sequence uint64        // Increases with each report of an incarnation; 0 in a final one.
+	Leaving  bool          // The upstream accepts no new requests.
+	Final    bool          // The upstream is about to exit.
 }
--- a/port/port.go
+++ b/port/port.go
@@ -1,9 +1,9 @@
-// Package port names what eiderfold needs from the world around it. Each
+// Package port defines the interfaces between eiderfold and its platform. Each
 // interface has one adapter for a real platform and one in memory.
 //
 // # Usage
 //
-// A node is wired from ports, so another platform costs one new adapter:
+// Nodes depend on ports only, so another platform needs only a new adapter:
 //
 //	var s port.Store = consul.New("http://127.0.0.1:8500")
 //	entry, err := s.Get(ctx, "eiderfold/config/montevideo/template")
@@ -16,56 +16,56 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of the ports. Callers test them with errors.Is.
+// Errors returned by the adapters. Test for them with errors.Is.
 var (
-	// ErrMissing says that the store holds no such key.
+	// ErrMissing is returned if the key does not exist.
 	ErrMissing = errors.New("no such key")
-	// ErrUnavailable says that the platform did not take the call.
+	// ErrUnavailable is returned if the platform did not accept the call.
 	ErrUnavailable = errors.New("platform unavailable")
-	// ErrUnknown says that a write was sent and its answer lost: it may have
-	// taken effect.
+	// ErrUnknown is returned if a write was sent but its response was lost, so that
+	// it may have taken effect.
 	ErrUnknown = errors.New("outcome of the write unknown")
 )
 
-// MaxValue is the largest value the platform's store takes, in bytes.
+// MaxValue is the maximum size of a value in the platform's store, in bytes.
 const MaxValue = 1 << 20
 
-// Entry is one value of the store with the version compare-and-swap needs.
+// Entry is a key and its value in the store, with the version for compare-and-swap.
 type Entry struct {
 	Key     string
 	Value   []byte
-	Version uint64 // 0 stands for "the key does not exist".
-	Removed bool   // A watch tells that the key is gone; there is no value.
+	Version uint64 // 0 if the key does not exist.
+	Removed bool   // Set by a watch if the key was deleted; Value is empty.
 }
 
 // Store is the platform's key-value service. Every call counts against its rate
-// limit, a waiting Watch too.
+// limit, including a Watch that waits.
 type Store interface {
 	// Get reads one key. It returns ErrMissing or ErrUnavailable.
 	Get(ctx context.Context, key string) (Entry, error)
 	// List reads all keys below a prefix.
 	List(ctx context.Context, prefix string) ([]Entry, error)
-	// Keys reads only the names below a prefix.
+	// Keys reads the keys below a prefix without their values.
 	Keys(ctx context.Context, prefix string) ([]string, error)
-	// CompareAndSwap writes if the key still has the entry's version. It returns
-	// false when somebody else was first, ErrUnavailable when nothing was
-	// written, and ErrUnknown when the answer was lost.
+	// CompareAndSwap writes the entry if the key still has the entry's version. It
+	// returns false if the version differs, ErrUnavailable if nothing was written,
+	// and ErrUnknown if the response was lost.
 	CompareAndSwap(ctx context.Context, e Entry) (bool, error)
 	// Watch waits until something below prefix is newer than index, or until
-	// the deadline of ctx, and returns everything below prefix.
+	// the deadline of ctx, and returns everything below prefix with its index.
 	Watch(ctx context.Context, prefix string, index uint64) ([]Entry, uint64, error)
 }
 
-// State is what the platform says of an instance.
+// State is the state of an instance according to the platform.
 type State string
 
-// The states of an instance in the platform's list.
+// States of an instance.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// Instance is one row of the platform's list.
+// Instance is one entry of the platform's instance list.
 type Instance struct {
 	Name       string
 	Address    string // IP:port
@@ -76,12 +76,13 @@
 	Generation string
 }
 
-// InstanceList is the platform's list of live and leaving instances. It lags.
+// InstanceList is the platform's list of live and leaving instances. It may be out of
+// date.
 type InstanceList interface {
 	// Instances waits until the list of the service is newer than index, or
-	// until the deadline of ctx, and returns it whole.
+	// until the deadline of ctx, and returns the complete list with its index.
 	Instances(ctx context.Context, service string, index uint64) ([]Instance, uint64, error)
 }
 
-// Clock is the time source of everything that is not pure.
+// Clock returns the current time.
 type Clock func() time.Time
