--- a/result/result_test.go
+++ b/result/result_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDocumentedCodes keeps the table of docs/CODES.md equal to the code's.
+// TestDocumentedCodes checks that the table in docs/CODES.md equals the one in the code.
 func TestDocumentedCodes(t *testing.T) {
 	text, err := os.ReadFile("../docs/CODES.md")
 	require.NoError(t, err)
