--- a/switches/switches.go
+++ b/switches/switches.go
@@ -1,6 +1,6 @@
-// Package switches names the mechanisms that decide where requests go, so that each can
-// be switched off, to measure what it is worth. All are on unless the settings say
-// otherwise; a fleet in service needs none of them off.
+// Package switches defines the mechanisms that decide where requests go. Each can be
+// switched off to measure its effect. All are on by default; a fleet in production does
+// not need to switch any off.
 //
 // # Usage
 //
@@ -15,36 +15,36 @@
 	"github.com/pkg/errors"
 )
 
-// Mechanism is something that decides.
+// Mechanism is the name of a mechanism as it appears in the settings.
 type Mechanism string
 
-// Mechanisms, with what happens where one is off.
+// Mechanisms. Each comment says what happens if the mechanism is off.
 const (
-	Silence   Mechanism = "silence"    // No trial begins because attempts are not answered.
-	Hold      Mechanism = "hold"       // Orders are given to upstreams whose answers are in doubt.
-	Warnings  Mechanism = "warnings"   // No ingress is told of attempts that are silent.
-	OwnCalls  Mechanism = "own-calls"  // Errors count against an upstream whatever its calls did.
-	KindTimes Mechanism = "kind-times" // Queues expect the mean time of all kinds of request.
-	Trials    Mechanism = "trials"     // No upstream is set aside for its outcomes.
-	Forced    Mechanism = "forced"     // Gates on trial take no orders, however few are open.
-	Hedges    Mechanism = "hedges"     // A late attempt is not repeated beside itself.
-	Near      Mechanism = "near"       // The own data centre is not preferred.
-	SlowLast  Mechanism = "slow-last"  // Slow gates are chosen as others are.
-	Priority  Mechanism = "priority"   // Queues do not look at priorities.
-	LateLast  Mechanism = "late-last"  // Queues do not put behind what can no longer be in time.
-	CallTerms Mechanism = "call-terms" // A call is not as urgent as the request that it is made for.
+	Silence   Mechanism = "silence"    // Unanswered attempts do not put a gate on trial.
+	Hold      Mechanism = "hold"       // Non-retryable requests also go to upstreams that may be unresponsive.
+	Warnings  Mechanism = "warnings"   // Gates on trial do not report overdue attempts to the ingress.
+	OwnCalls  Mechanism = "own-calls"  // Errors count against an upstream even if its nested requests failed.
+	KindTimes Mechanism = "kind-times" // Queues estimate response times by the mean over all kinds of requests.
+	Trials    Mechanism = "trials"     // Bad outcomes do not put a gate on trial.
+	Forced    Mechanism = "forced"     // Gates on trial accept no non-retryable requests, however few gates are open.
+	Hedges    Mechanism = "hedges"     // Late attempts are not hedged.
+	Near      Mechanism = "near"       // Gates in the local data centre are not preferred.
+	SlowLast  Mechanism = "slow-last"  // Slow gates are selected like any other.
+	Priority  Mechanism = "priority"   // Queues ignore priorities.
+	LateLast  Mechanism = "late-last"  // Queues do not move requests to the back that can no longer meet their target deadline.
+	CallTerms Mechanism = "call-terms" // Nested requests do not inherit the requirements of their parent.
 )
 
 var all = []Mechanism{Silence, Hold, Warnings, OwnCalls, KindTimes, Trials, Forced, Hedges, Near, SlowLast, Priority,
 	LateLast, CallTerms}
 
-// All returns every mechanism.
+// All returns all mechanisms.
 func All() []Mechanism { return slices.Clone(all) }
 
-// Set says which mechanisms are on. The zero value has all of them on.
+// Set is a set of mechanisms that are on. In the zero value all are on.
 type Set struct{ off []Mechanism }
 
-// Off returns a set with some mechanisms off. Its error names every unknown one.
+// Off returns a set with the named mechanisms off. Its error lists every unknown name.
 func Off(names ...string) (Set, error) {
 	var s Set
 	var unknown []string
@@ -61,10 +61,10 @@
 	return s, nil
 }
 
-// On tells whether a mechanism is on.
+// On reports whether a mechanism is on.
 func (s Set) On(m Mechanism) bool { return !slices.Contains(s.off, m) }
 
-// String lists the mechanisms that are off, for the log.
+// String returns the mechanisms that are off, separated by commas, for logs.
 func (s Set) String() string { return join(s.off) }
 
 func join(list []Mechanism) string {
--- a/switches/switches_test.go
+++ b/switches/switches_test.go
@@ -19,5 +19,5 @@
 	}
 	_, err = Off("hedge", "near", "nothing")
 	assert.ErrorContains(t, err, "hedge, nothing")
-	assert.ErrorContains(t, err, "own-calls", "the known ones are listed")
+	assert.ErrorContains(t, err, "own-calls", "the error lists the known mechanisms")
 }
