--- a/hop/hop.go
+++ b/hop/hop.go
@@ -1,5 +1,5 @@
-// Package hop knows which headers count for one connection only. Every part that
-// passes a message on removes them, in both directions.
+// Package hop removes hop-by-hop headers, which are valid for a single connection
+// only. Every component that forwards a message strips them, in both directions.
 //
 // # Usage
 //
@@ -11,11 +11,11 @@
 	"strings"
 )
 
-// headers are those of RFC 9110, 7.6.1, and the ones that older clients send for
-// the same purpose.
+// headers are the hop-by-hop headers of RFC 9110, section 7.6.1, and those that
+// older clients send for the same purpose.
 var headers = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-// Strip removes those headers, and what the message itself lists in Connection.
+// Strip removes the hop-by-hop headers and every header listed in Connection.
 func Strip(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
