--- a/link/message.go
+++ b/link/message.go
@@ -36,9 +36,9 @@
 	Left          time.Duration `cbor:"6,keyasint"` // Time until the deadline.
 	Priority      int           `cbor:"7,keyasint,omitempty"`
 	Retryable     bool          `cbor:"8,keyasint,omitempty"`
-	Force         bool          `cbor:"9,keyasint,omitempty"`  // Too few gates are open: a gate on trial accepts it even if it is not retryable.
-	Content       *Content      `cbor:"10,keyasint,omitempty"` // If set and a slot is free at once, the request starts without a commit.
-	Aim           time.Duration `cbor:"11,keyasint,omitempty"` // Time until the target deadline, negative if it has passed; 0 to use the deadline.
+	Force         bool          `cbor:"9,keyasint,omitempty"`  // Too few gates are open: on trial, accept it even if not retryable.
+	Content       *Content      `cbor:"10,keyasint,omitempty"` // If set, a free slot starts it without a commit.
+	Aim           time.Duration `cbor:"11,keyasint,omitempty"` // Time until the target deadline, negative once passed; 0 for the deadline.
 	Claim         budget.Claim  `cbor:"12,keyasint,omitempty"` // Kind of the attempt: first, charged, failure retry or hedge.
 	Kind          uint32        `cbor:"13,keyasint,omitempty"` // Groups requests with similar response times.
 	Account       string        `cbor:"14,keyasint,omitempty"` // The client account it is made for.
@@ -64,7 +64,7 @@
 // Reasons of a refusal.
 const (
 	ReasonNone         Reason = iota
-	ReasonClosed              // The gate accepts no requests: its upstream is unknown or leaving, or it is stopping or evacuated.
+	ReasonClosed              // The gate is stopping or evacuated, or its upstream is unknown or leaving.
 	ReasonTrial               // The gate is on trial and does not accept this offer.
 	ReasonBusy                // No slot will be free in time.
 	ReasonMisdirected         // The offer is for another service or upstream, or was received before.
@@ -217,7 +217,7 @@
 type LimitAnswer struct {
 	Number  uint64        `cbor:"1,keyasint"`
 	Granted bool          `cbor:"2,keyasint,omitempty"`
-	Unknown bool          `cbor:"3,keyasint,omitempty"` // The sender is not the home and cannot reach it, or does not have the account.
+	Unknown bool          `cbor:"3,keyasint,omitempty"` // The sender does not reach the home or does not have the account.
 	After   time.Duration `cbor:"4,keyasint,omitempty"` // When to retry, if not granted.
 }
 
