--- a/core/doc.go
+++ b/core/doc.go
@@ -5,7 +5,7 @@
 // There are four state machines:
 //
 //   - Judge is the outlier detector: it ejects and readmits the upstreams of one
-//     service. Only the coordinator's Judge decides; see judge.go.
+//     service. Only the coordinator's Judge decides; see outlier.go.
 //   - Avoider holds the local weights: it shifts one node's own traffic at once,
 //     based on that node's own observations.
 //   - View holds the coordinator's decisions that a node has received, and the end
