--- a/node/doc.go
+++ b/node/doc.go
@@ -1,17 +1,18 @@
-// Package node wires a node together: the request path of package proxy, the
-// decisions of package core, peers, the platform's store and instance list, and
-// the admin API.
+// Package node assembles a node from the request path of package proxy, the
+// state machines of package core, the connections to peers, the platform's store
+// and instance list, and the admin API.
 //
 // # Usage
 //
-//	n, err := node.New(settings, node.WithStore(store), node.WithList(list))
-//	err = n.Run(ctx) // Returns when a planned stop is over.
+//	n, err := node.New(settings, material, node.WithStore(store), node.WithList(list))
+//	err = n.Run(ctx, admin, nil) // Returns when the planned stop is complete.
 //
 // A node serves one or more templates. The nodes of one template form a group.
-// One of them is its coordinator: the store's assignment says which. Everything
-// that a group decides goes through its coordinator, and the other nodes keep
-// working without it: they serve, they avoid by themselves, and they eject nothing.
+// The assignment in the store names one of them as the coordinator, which makes
+// all decisions of the group. Without a coordinator the other nodes still serve
+// requests and shift traffic by their own local weights, but eject no upstream.
 //
-// Files: group.go holds the state; evidence.go, heartbeat.go, leader.go, watch.go
-// and operations.go each hold one of its loops or roles; peers.go answers peers.
+// Files: group.go holds the state of a group; evidence.go, heartbeat.go, leader.go,
+// watch.go and operations.go each implement one of its loops or roles; peers.go
+// handles requests from peers.
 package node
--- a/node/dump.go
+++ b/node/dump.go
@@ -9,7 +9,7 @@
 	"eiderfold/peer"
 )
 
-// Dump is the whole decision state of a node, for people and tests.
+// Dump is the whole decision state of a node, for operators and tests.
 type Dump struct {
 	Node        string               `json:"node"`
 	Incarnation uint64               `json:"incarnation"`
@@ -22,29 +22,29 @@
 	Received    int64                `json:"received_bytes"`
 }
 
-// GroupDump is the state of a group as one node has it.
+// GroupDump is one node's state of a group.
 type GroupDump struct {
-	Coordinator peer.Leader            `json:"coordinator"`
-	Leading     bool                   `json:"leading"`
-	Deciding    bool                   `json:"deciding"`
-	Epoch       uint64                 `json:"promised_epoch"`
-	HeardAgo    string                 `json:"coordinator_heard_ago"`
-	LeaseLeft   string                 `json:"lease_left"`
-	Nodes       []peer.Member          `json:"nodes"`
-	Claims      int                    `json:"claims"`
-	Waiting     int                    `json:"nodes_to_promise"`
-	Ledger      int                    `json:"operations"`
-	Services    map[string]ServiceDump `json:"services"`
+	Coordinator     peer.Leader            `json:"coordinator"`
+	Leading         bool                   `json:"leading"`
+	Deciding        bool                   `json:"deciding"`
+	PromisedEpoch   uint64                 `json:"promised_epoch"`
+	SinceContact    string                 `json:"coordinator_heard_ago"`
+	LeaseLeft       string                 `json:"lease_left"`
+	Nodes           []peer.Member          `json:"nodes"`
+	Claims          int                    `json:"claims"`
+	AwaitingPromise int                    `json:"nodes_to_promise"`
+	Operations      int                    `json:"operations"`
+	Services        map[string]ServiceDump `json:"services"`
 }
 
-// ServiceDump is the state of a service.
+// ServiceDump is the decision state of a service and its upstreams.
 type ServiceDump struct {
 	Floor     int            `json:"floor"`
 	Threshold float64        `json:"threshold"`
 	Upstreams []UpstreamDump `json:"upstreams"`
 }
 
-// UpstreamDump is the state of an upstream.
+// UpstreamDump is the decision state and load of an upstream.
 type UpstreamDump struct {
 	Name     string  `json:"name"`
 	Address  string  `json:"address"`
@@ -56,9 +56,9 @@
 
 const heapMetric = "/memory/classes/heap/objects:bytes"
 
-// Dump returns the state of this node.
+// Dump returns the current decision state of this node.
 func (n *Node) Dump() Dump {
-	heap := []metrics.Sample{{Name: heapMetric}} // Unlike ReadMemStats it stops nothing.
+	heap := []metrics.Sample{{Name: heapMetric}} // Unlike ReadMemStats, this does not stop the world.
 	metrics.Read(heap)
 	snapshot := n.holder.Now()
 	d := Dump{
@@ -82,17 +82,17 @@
 	defer g.mu.Unlock()
 	now := time.Now()
 	d := GroupDump{
-		Coordinator: g.leader,
-		Leading:     g.leading(),
-		Deciding:    g.leading() && g.lead.installed,
-		Epoch:       max(g.view.Epoch(), g.ledger.Promised()),
-		HeardAgo:    now.Sub(g.heard).Round(time.Millisecond).String(),
-		LeaseLeft:   max(g.view.Deadline().Sub(now), 0).Round(time.Millisecond).String(),
-		Nodes:       g.roster.Nodes,
-		Claims:      g.claims.Len(),
-		Waiting:     g.claims.Waiting(),
-		Ledger:      g.ledger.Len(),
-		Services:    map[string]ServiceDump{},
+		Coordinator:     g.leader,
+		Leading:         g.leading(),
+		Deciding:        g.leading() && g.lead.deciding,
+		PromisedEpoch:   max(g.view.Epoch(), g.operations.Promised()),
+		SinceContact:    now.Sub(g.lastContact).Round(time.Millisecond).String(),
+		LeaseLeft:       max(g.view.Deadline().Sub(now), 0).Round(time.Millisecond).String(),
+		Nodes:           g.roster.Nodes,
+		Claims:          g.claims.Len(),
+		AwaitingPromise: g.claims.Waiting(),
+		Operations:      g.operations.Len(),
+		Services:        map[string]ServiceDump{},
 	}
 	for name, s := range g.services {
 		d.Services[name] = g.dumpService(name, s, now)
@@ -101,11 +101,11 @@
 }
 
 func (g *Group) dumpService(name string, s *service, now time.Time) ServiceDump {
-	d := ServiceDump{Floor: s.balancer.Policy().Floor(), Threshold: s.judge.Threshold()}
+	d := ServiceDump{Floor: s.balancer.Policy().Floor(), Threshold: s.detector.Threshold()}
 	phases := map[string]core.Phase{}
 	if now.Before(g.view.Deadline()) {
-		for _, standing := range g.view.Set(name) {
-			phases[standing.Upstream] = standing.Phase
+		for _, state := range g.view.Set(name) {
+			phases[state.Upstream] = state.Phase
 		}
 	}
 	for _, u := range s.balancer.Upstreams() {
@@ -113,8 +113,8 @@
 			Name:     u.Name(),
 			Address:  u.Address(),
 			Phase:    phases[u.Name()].String(),
-			Avoid:    s.avoider.Weight(u.Name()),
-			Score:    s.judge.Score(u.Name()),
+			Avoid:    s.local.Weight(u.Name()),
+			Score:    s.detector.Score(u.Name()),
 			InFlight: u.InFlight(),
 		})
 	}
--- a/node/election.go
+++ b/node/election.go
@@ -13,13 +13,15 @@
 	"eiderfold/port"
 )
 
-func assignment(template string) string { return config.TemplatePrefix(template) + assignmentKey }
+// assignmentKey returns the store key of a template's assignment.
+func assignmentKey(template string) string { return config.TemplatePrefix(template) + assignmentName }
 
-// runElections looks after there being a coordinator.
+// runElections starts a campaign when there has been no contact with a
+// coordinator for electionDelay.
 func (g *Group) runElections(ctx context.Context) {
 	for sleep(ctx, electionPeriod+rand.N(electionPeriod/4)) {
 		g.mu.Lock()
-		due := !g.leading() && time.Since(g.heard) > g.patience()
+		due := !g.leading() && time.Since(g.lastContact) > g.electionDelay()
 		g.mu.Unlock()
 		if due {
 			g.campaign(ctx)
@@ -27,36 +29,38 @@
 	}
 }
 
-// patience is how long this node waits before it stands in. Call it with mu held.
-func (g *Group) patience() time.Duration {
+// electionDelay returns how long this node waits without contact with a
+// coordinator before it campaigns. Call it with mu held.
+func (g *Group) electionDelay() time.Duration {
 	rank := time.Duration(g.rank(g.node.identity.Node))
 	if g.leader.Epoch == 0 {
-		return firstRank * (rank + 1)
+		return firstElectionDelay * (rank + 1)
 	}
-	return takeoverAfter + takeoverRank*rank
+	return electionTimeout + electionRankDelay*rank
 }
 
-// campaign makes this node the coordinator unless somebody else is heard by
-// anybody. The store's compare-and-swap decides between two that try.
+// campaign makes this node the coordinator unless the store names a newer one or
+// another node is in contact with a coordinator. If two nodes campaign, the
+// store's compare-and-swap lets one of them win.
 func (g *Group) campaign(ctx context.Context) {
 	if !g.node.listed(g.template) || g.node.stopping.Load() {
 		return
 	}
 	entry, current, err := g.readAssignment(ctx)
 	if err != nil {
-		g.restart()
+		g.resetElectionTimer()
 		return
 	}
 	g.mu.Lock()
 	known := g.leader
 	if current.Epoch > known.Epoch {
-		g.follow(current)
+		g.adoptLeader(current)
 		g.mu.Unlock()
 		return
 	}
 	g.mu.Unlock()
-	if g.heardByAnother(ctx) {
-		g.restart()
+	if g.leaderSeenByOthers(ctx) {
+		g.resetElectionTimer()
 		return
 	}
 	next := g.node.asLeader(current.Epoch + 1)
@@ -64,26 +68,27 @@
 		next.ChangedAt = time.Now().UnixMilli()
 	}
 	g.mu.Lock()
-	g.lost = g.lostSince(current.ChangedAt)
+	g.uncertainUntil = g.uncertaintyEnd(current.ChangedAt)
 	g.mu.Unlock()
 	if g.swapAssignment(ctx, entry, next) {
 		g.mu.Lock()
-		g.follow(next)
+		g.adoptLeader(next)
 		g.mu.Unlock()
 		return
 	}
-	g.restart()
+	g.resetElectionTimer()
 }
 
-// restart gives the present coordinator, or another candidate, some time again.
-func (g *Group) restart() {
+// resetElectionTimer delays this node's next campaign, which gives the coordinator
+// or another candidate time to respond.
+func (g *Group) resetElectionTimer() {
 	g.mu.Lock()
-	g.heard = time.Now()
+	g.lastContact = time.Now()
 	g.mu.Unlock()
 }
 
 func (g *Group) readAssignment(ctx context.Context) (port.Entry, peer.Leader, error) {
-	entry, err := g.node.store.Get(ctx, assignment(g.template))
+	entry, err := g.node.store.Get(ctx, assignmentKey(g.template))
 	if errors.Is(err, port.ErrMissing) {
 		return entry, peer.Leader{}, nil
 	}
@@ -97,8 +102,9 @@
 	return entry, l, nil
 }
 
-// swapAssignment writes an assignment. A lost answer is settled by reading back:
-// the value names the node and its incarnation, so it is its own publish id.
+// swapAssignment writes an assignment and reports whether it is in the store. If
+// the result of the write is unknown, it reads the assignment back: the value
+// contains the node and its incarnation, so it identifies its writer.
 func (g *Group) swapAssignment(ctx context.Context, entry port.Entry, next peer.Leader) bool {
 	text, err := json.Marshal(next)
 	if err != nil {
@@ -113,10 +119,10 @@
 	return err == nil && swapped
 }
 
-// heardByAnother asks two other nodes whether they hear the coordinator. If they
-// do, the fault is in this node's own link, and standing in would only make
-// trouble for the rest.
-func (g *Group) heardByAnother(ctx context.Context) bool {
+// leaderSeenByOthers asks up to two other nodes whether they are the coordinator or
+// in contact with it. If one is, the fault is in this node's own link, and replacing
+// the coordinator would only disrupt the group.
+func (g *Group) leaderSeenByOthers(ctx context.Context) bool {
 	others := g.others()
 	for _, m := range others[:min(len(others), 2)] {
 		ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
@@ -129,9 +135,11 @@
 	return false
 }
 
-// lostSince says until when the loss of two coordinators in a row may matter: the
-// one before the present assignment, and the one it names.
-func (g *Group) lostSince(changedAt int64) time.Time {
+// uncertaintyEnd returns until when grants may be missing because two coordinators
+// in a row were lost: the one in the current assignment and the one before it.
+// changedAt is when the coordinator last changed without a handover, in Unix
+// milliseconds, or 0 for never.
+func (g *Group) uncertaintyEnd(changedAt int64) time.Time {
 	if changedAt == 0 {
 		return time.Time{}
 	}
--- a/node/evidence.go
+++ b/node/evidence.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	tickPeriod  = 50 * time.Millisecond
-	judgePeriod = 250 * time.Millisecond
-	// pauseGap is a time between ticks that says this process stood still, and
-	// that what it believed of its leadership may be over.
-	pauseGap = core.Lease / 2
+	tickPeriod     = 50 * time.Millisecond
+	detectorPeriod = 250 * time.Millisecond
+	// pauseThreshold is the gap between ticks from which on the process counts as
+	// paused; another node may have become the coordinator meanwhile.
+	pauseThreshold = core.Lease / 2
 )
 
-// runTicks drains evidence, lets the machines see time pass, and rotates.
+// runTicks periodically drains evidence, advances the state machines and updates
+// the balancers.
 func (g *Group) runTicks(ctx context.Context) {
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
-	judged := time.Now()
+	lastAdvance := time.Now()
 	for {
 		select {
 		case <-ticker.C:
@@ -30,33 +31,34 @@
 		}
 		now := time.Now()
 		g.mu.Lock()
-		if gap := now.Sub(g.ticked); !g.ticked.IsZero() && gap > pauseGap {
-			g.paused(gap)
+		if gap := now.Sub(g.lastTick); !g.lastTick.IsZero() && gap > pauseThreshold {
+			g.handlePause(gap)
 		}
-		g.ticked = now
+		g.lastTick = now
 		suspicious := g.drain(now)
-		if now.Sub(judged) >= judgePeriod {
-			judged = now
-			g.pass(now)
+		if now.Sub(lastAdvance) >= detectorPeriod {
+			lastAdvance = now
+			g.advance(now)
 		}
 		g.mu.Unlock()
 		if suspicious {
-			g.hurry()
+			g.requestHeartbeat()
 		}
 	}
 }
 
-// hurry asks for a heartbeat before the next one is due.
-func (g *Group) hurry() {
+// requestHeartbeat triggers a heartbeat before the next one is due.
+func (g *Group) requestHeartbeat() {
 	select {
 	case g.urgent <- struct{}{}:
 	default:
 	}
 }
 
-// drain takes what the request path counted. It reports whether some of it makes
-// this node suspect an upstream. One slow answer does not: one in twenty is slow
-// by definition, and a heartbeat for each would be most of the traffic.
+// drain collects the counts of the request path. It reports whether they justify
+// an early heartbeat: an upstream failed or was slow, and local weights suspect it.
+// A slow answer alone does not: one in twenty is slow by definition, and a
+// heartbeat for each would dominate the traffic between nodes.
 func (g *Group) drain(now time.Time) bool {
 	suspicious := false
 	for name, s := range g.services {
@@ -64,67 +66,68 @@
 		for _, m := range s.upstreams {
 			m.upstream.Watch(now)
 			if m.upstream.Refusing() {
-				g.noticeRefusal(m.upstream.Name() + "/" + m.generation)
+				g.reportLeaving(m.upstream.Name() + "/" + m.generation)
 			}
 			c := m.upstream.Drain()
 			if c.Fast+c.Slow+c.Failed > 0 {
 				counts = append(counts, c)
 			}
 		}
-		s.avoider.Update(core.Tick{At: now})
+		s.local.Update(core.Tick{At: now})
 		if len(counts) == 0 {
 			continue
 		}
 		own := core.Evidence{At: now, Reporter: g.node.identity.Node, Beside: g.node.settings.Beside(), Counts: counts}
-		s.avoider.Update(own)
+		s.local.Update(own)
 		for _, c := range counts {
-			suspicious = suspicious || c.Failed+c.Slow > 0 && s.avoider.Suspects(c.Upstream)
+			suspicious = suspicious || c.Failed+c.Slow > 0 && s.local.Suspects(c.Upstream)
 		}
 		if g.leading() {
-			g.carryOut(name, s, s.judge.Update(own))
-			g.rotate(name, s)
+			g.execute(name, s, s.detector.Update(own))
+			g.updateBalancer(name, s)
 			continue
 		}
 		for _, c := range counts {
 			p := s.pending[c.Upstream]
 			s.pending[c.Upstream] = core.Count{Upstream: c.Upstream, Fast: p.Fast + c.Fast, Slow: p.Slow + c.Slow, Failed: p.Failed + c.Failed}
 		}
-		g.rotate(name, s)
+		g.updateBalancer(name, s)
 	}
 	return suspicious
 }
 
-// noticeRefusal remembers an upstream that said itself that it is leaving, which
-// the platform's list may say much later. The coordinator tells everybody.
-func (g *Group) noticeRefusal(nameAndGeneration string) {
-	if g.refused[nameAndGeneration] {
+// reportLeaving records an upstream that announced that it is leaving, which the
+// platform's list may show much later. The coordinator updates the roster; another
+// node reports the upstream with its next heartbeat.
+func (g *Group) reportLeaving(nameAndGeneration string) {
+	if g.leaving[nameAndGeneration] {
 		return
 	}
 	if g.leading() {
-		g.refuse(nameAndGeneration)
+		g.markLeaving(nameAndGeneration)
 		return
 	}
-	g.refused[nameAndGeneration] = true
-	g.hurry()
+	g.leaving[nameAndGeneration] = true
+	g.requestHeartbeat()
 }
 
-// pass lets the machines see time pass.
-func (g *Group) pass(now time.Time) {
-	g.ledger.Update(core.Tick{At: now})
+// advance passes the current time to the state machines.
+func (g *Group) advance(now time.Time) {
+	g.operations.Update(core.Tick{At: now})
 	g.claims.Update(core.Tick{At: now})
 	if g.leading() {
-		g.oversee(now)
+		g.advanceLeader(now)
 		for name, s := range g.services {
-			g.carryOut(name, s, s.judge.Update(core.Tick{At: now}))
+			g.execute(name, s, s.detector.Update(core.Tick{At: now}))
 		}
 	}
 	for name, s := range g.services {
-		g.rotate(name, s) // The lease has moved, and the avoider forgets with time.
+		g.updateBalancer(name, s) // The lease and the local weights change with time.
 	}
 }
 
-// carryOut does what a judge wants done.
-func (g *Group) carryOut(name string, s *service, commands []core.Command) {
+// execute runs the commands that a service's outlier detector returned.
+func (g *Group) execute(name string, s *service, commands []core.Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
 		case core.Decided:
@@ -134,7 +137,7 @@
 		}
 	}
 	if len(commands) > 1 {
-		g.rotate(name, s)
+		g.updateBalancer(name, s)
 	}
 }
 
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -9,14 +9,15 @@
 	"eiderfold/peer"
 )
 
-// NodeState is what one node of the groups says is in force on it.
+// NodeState holds the configuration sequences in force on one node, by shard.
+// Sequences is nil if the node is not reachable.
 type NodeState struct {
 	Node      string
 	Reachable bool
 	Sequences map[string]uint64
 }
 
-// Fleet asks every node of this node's groups what is in force on it.
+// Fleet returns the state of every node of this node's groups, sorted by name.
 func (n *Node) Fleet(ctx context.Context) []NodeState {
 	addresses := map[string]string{}
 	for _, g := range n.groups {
@@ -26,16 +27,16 @@
 	}
 	states := []NodeState{{Node: n.identity.Node, Reachable: true, Sequences: n.holder.Now().Sequences()}}
 	var mu sync.Mutex
-	var asking sync.WaitGroup
+	var wg sync.WaitGroup
 	for name, address := range addresses {
-		asking.Go(func() {
+		wg.Go(func() {
 			s := n.stateOf(ctx, name, address)
 			mu.Lock()
 			states = append(states, s)
 			mu.Unlock()
 		})
 	}
-	asking.Wait()
+	wg.Wait()
 	slices.SortFunc(states, func(a, b NodeState) int { return strings.Compare(a.Node, b.Node) })
 	return states
 }
--- a/node/group.go
+++ b/node/group.go
@@ -17,95 +17,95 @@
 	"eiderfold/proxy"
 )
 
-// Group is this node's part in the group of one template.
+// Group is this node's state of the group of one template.
 type Group struct {
 	node      *Node
 	template  string
 	log       *zap.Logger
 	balancers atomic.Pointer[map[string]*proxy.Service]
-	synced    atomic.Bool // The store or a coordinator has been heard since the start.
-	complete  atomic.Bool // All of the configuration has come since the start.
+	synced    atomic.Bool // The store or a coordinator has answered since the start.
+	complete  atomic.Bool // The whole configuration has been received since the start.
 
-	mu       sync.Mutex // Guards what follows; never held over a call.
-	services map[string]*service
-	view     core.View
-	window   time.Duration // How long a key is remembered.
-	claims   *core.Claims
-	ledger   *core.Ledger
-	ended    map[core.Key]chan struct{} // Closed when an operation of ours ends.
-	roster   peer.Roster
-	leader   peer.Leader
-	before   string    // The coordinator before the present one.
-	lost     time.Time // Until when operations that only two lost coordinators knew may be asked for.
-	heard    time.Time // When the coordinator was last heard.
-	lead     *leadership
-	deposed  deposed
-	answered uint64                       // Epoch of the last coordinator that was promised in person.
-	loads    map[string]map[string]uint32 // By node and upstream; the coordinator's.
-	crashed  time.Time                    // When a node was last lost unplanned.
-	refused  map[string]bool              // Upstreams that said they are leaving, by name and generation.
-	ticked   time.Time
-	wantFull bool
+	mu             sync.Mutex // Guards the fields of this block; never held during a network call.
+	services       map[string]*service
+	view           core.View
+	window         time.Duration // How long an operation key is kept.
+	claims         *core.Claims
+	operations     *core.Ledger
+	finished       map[core.Key]chan struct{} // Closed when an operation of this node ends.
+	roster         peer.Roster
+	leader         peer.Leader
+	previousLeader string    // The coordinator before the current one.
+	uncertainUntil time.Time // Until when a key may have a grant that only two lost coordinators knew.
+	lastContact    time.Time // With the coordinator; also reset to delay a campaign.
+	lead           *leadership
+	lastTerm       pastTerm
+	collectEpoch   uint64                       // Epoch of the last Collect request that this node promised.
+	loads          map[string]map[string]uint32 // In-flight requests by node and upstream; only on the coordinator.
+	lastCrash      time.Time                    // When a node was last lost without a planned stop.
+	leaving        map[string]bool              // Upstreams that announced that they are leaving, by name and generation.
+	lastTick       time.Time
+	sendSequences  bool
 
-	urgent chan struct{} // Asks for a heartbeat at once.
+	urgent chan struct{} // Triggers an early heartbeat.
 }
 
 // service is the group's state of one service.
 type service struct {
 	balancer  *proxy.Service
 	upstreams map[string]*member // By name.
-	judge     *core.Judge
-	avoider   Local
+	detector  *core.Judge
+	local     Local
 	pending   map[string]core.Count // Evidence not yet sent.
 	suspects  atomic.Pointer[map[string]bool]
 }
 
-// member is an upstream with the generation it was made for.
+// member is an upstream of a service and the generation it was created for.
 type member struct {
 	upstream   *proxy.Upstream
 	generation string
 }
 
 const (
-	ledgerMargin = time.Minute // A holder remembers longer than the coordinator.
-	ledgerRoom   = 8 << 20     // Bytes of recorded answers.
+	operationMargin = time.Minute // Holders keep operations longer than the coordinator does.
+	maxAnswerBytes  = 8 << 20     // Limit for all recorded answers together.
 )
 
 func newGroup(n *Node, template string) *Group {
 	g := &Group{
-		node:     n,
-		template: template,
-		log:      n.log.With(zap.String("template", template)),
-		services: map[string]*service{},
-		ended:    map[core.Key]chan struct{}{},
-		loads:    map[string]map[string]uint32{},
-		refused:  map[string]bool{},
-		urgent:   make(chan struct{}, 1),
-		heard:    time.Now(),
-		window:   defaultWindow,
+		node:        n,
+		template:    template,
+		log:         n.log.With(zap.String("template", template)),
+		services:    map[string]*service{},
+		finished:    map[core.Key]chan struct{}{},
+		loads:       map[string]map[string]uint32{},
+		leaving:     map[string]bool{},
+		urgent:      make(chan struct{}, 1),
+		lastContact: time.Now(),
+		window:      defaultRepeatWindow,
 	}
 	g.claims = core.NewClaims(g.window)
-	g.ledger = core.NewLedger(g.window+ledgerMargin, ledgerRoom)
+	g.operations = core.NewLedger(g.window+operationMargin, maxAnswerBytes)
 	g.balancers.Store(&map[string]*proxy.Service{})
 	return g
 }
 
-const defaultWindow = 15 * time.Minute
+const defaultRepeatWindow = 15 * time.Minute
 
-// setWindow takes the longest repeat window of the template's services.
+// setWindow sets the window to the longest repeat window of the services.
 func (g *Group) setWindow(services []*config.Service) {
 	g.window = 0
 	for _, s := range services {
 		g.window = max(g.window, s.RepeatWindow())
 	}
 	g.claims.SetWindow(g.window)
-	g.ledger.SetWindow(g.window + ledgerMargin)
+	g.operations.SetWindow(g.window + operationMargin)
 }
 
-// Service returns the balancer of a service, nil before it is set up.
+// Service returns the balancer of a service, or nil if it is not set up.
 func (g *Group) Service(name string) *proxy.Service { return (*g.balancers.Load())[name] }
 
-// configure sets the services up as the template in force says.
+// configure applies the template in force to the services.
 func (g *Group) configure() {
 	t := g.node.holder.Now().Template(g.template)
 	if t == nil {
@@ -120,10 +120,10 @@
 		if s == nil {
 			s = g.newService(policy)
 			g.services[policy.Name()] = s
-			g.populate(policy.Name(), s)
+			g.syncUpstreams(policy.Name(), s)
 		}
 		s.balancer.SetPolicy(policy)
-		s.judge.SetPolicy(judgePolicy(policy))
+		s.detector.SetPolicy(detectorPolicy(policy))
 		next[policy.Name()] = s.balancer
 	}
 	for name, s := range g.services {
@@ -137,19 +137,20 @@
 
 func (g *Group) newService(policy *config.Service) *service {
 	var local Local = core.NewAvoider()
-	if g.node.local != nil {
-		local = g.node.local(judgePolicy(policy))
+	if g.node.newLocal != nil {
+		local = g.node.newLocal(detectorPolicy(policy))
 	}
 	return &service{
 		balancer:  proxy.NewService(policy),
 		upstreams: map[string]*member{},
-		judge:     core.NewJudge(judgePolicy(policy)),
-		avoider:   local,
+		detector:  core.NewJudge(detectorPolicy(policy)),
+		local:     local,
 		pending:   map[string]core.Count{},
 	}
 }
 
-func judgePolicy(policy *config.Service) core.Policy {
+// detectorPolicy returns the settings of a service's outlier detector.
+func detectorPolicy(policy *config.Service) core.Policy {
 	return core.Policy{Floor: policy.Floor(), Sensitivity: policy.Sensitivity(), OnlyAtMostOnce: policy.OnlyAtMostOnce()}
 }
 
@@ -159,7 +160,8 @@
 	}
 }
 
-// setRoster takes a newer roster and reports whether it was one.
+// setRoster adopts r if it is newer than the current roster, and reports whether
+// it was.
 func (g *Group) setRoster(r *peer.Roster) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,25 +170,25 @@
 	}
 	g.roster = *r
 	for name, s := range g.services {
-		g.populate(name, s)
+		g.syncUpstreams(name, s)
 	}
 	return true
 }
 
-// populate makes a service's upstreams fit the roster. Leaving ones keep their
-// requests in flight and get no new ones.
-func (g *Group) populate(name string, s *service) {
+// syncUpstreams updates a service's upstreams to match the roster. Leaving upstreams
+// get no new requests; their in-flight requests continue.
+func (g *Group) syncUpstreams(name string, s *service) {
 	policy := s.balancer.Policy()
 	before := s.upstreams
 	s.upstreams = map[string]*member{}
 	var live []string
 	for _, u := range g.roster.Upstreams[name] {
-		if u.Leaving || g.refused[u.Name+"/"+u.Generation] {
+		if u.Leaving || g.leaving[u.Name+"/"+u.Generation] {
 			continue
 		}
 		m := before[u.Name]
 		if m == nil || m.upstream.Address() != u.Address || m.generation != u.Generation {
-			m = &member{upstream: proxy.NewUpstream(name, u.Name, u.Address, g.connections(policy), g.node.source()), generation: u.Generation}
+			m = &member{upstream: proxy.NewUpstream(name, u.Name, u.Address, g.connections(policy), g.node.sourceIP()), generation: u.Generation}
 		}
 		s.upstreams[u.Name] = m
 		live = append(live, u.Name)
@@ -198,37 +200,39 @@
 	}
 	slices.Sort(live)
 	now := time.Now()
-	s.avoider.Update(core.Members{At: now, Upstreams: live})
-	g.carryOut(name, s, s.judge.Update(core.Members{At: now, Upstreams: live}))
-	g.rotate(name, s)
+	s.local.Update(core.Members{At: now, Upstreams: live})
+	g.execute(name, s, s.detector.Update(core.Members{At: now, Upstreams: live}))
+	g.updateBalancer(name, s)
 }
 
-// connections is this node's part of the connections an upstream bears.
+// connections returns this node's share of the connections that an upstream
+// sustains.
 func (g *Group) connections(policy *config.Service) int {
 	nodes := max(len(g.roster.Nodes), 1)
 	return max(policy.Connections()/nodes, 2)
 }
 
-// rotate gives the balancer what the decisions in force say.
-func (g *Group) rotate(name string, s *service) {
-	standings := map[string]core.Standing{}
-	for _, standing := range g.view.Set(name) {
-		standings[standing.Upstream] = standing
+// updateBalancer applies the decisions in force and the local weights to a
+// service's balancer.
+func (g *Group) updateBalancer(name string, s *service) {
+	states := map[string]core.Standing{}
+	for _, state := range g.view.Set(name) {
+		states[state.Upstream] = state
 	}
 	shares := make([]proxy.Share, 0, len(s.upstreams))
 	suspects := map[string]bool{}
 	for _, name := range slices.Sorted(maps.Keys(s.upstreams)) {
 		m := s.upstreams[name]
-		alone := s.avoider.Weight(name)
-		share := proxy.Share{Upstream: m.upstream, Weight: alone, Alone: alone}
-		if standing, ok := standings[name]; ok {
-			share.Phase = standing.Phase
-			share.Weight = alone * standing.Weight
-			if standing.Phase == core.Ramp {
+		ownWeight := s.local.Weight(name)
+		share := proxy.Share{Upstream: m.upstream, Weight: ownWeight, Alone: ownWeight}
+		if state, ok := states[name]; ok {
+			share.Phase = state.Phase
+			share.Weight = ownWeight * state.Weight
+			if state.Phase == core.Ramp {
 				share.Alone = share.Weight
 			}
 		}
-		if s.avoider.Suspects(name) || share.Phase == core.Out || share.Phase == core.Trial {
+		if s.local.Suspects(name) || share.Phase == core.Out || share.Phase == core.Trial {
 			suspects[name] = true
 		}
 		shares = append(shares, share)
@@ -237,7 +241,8 @@
 	s.balancer.Rotate(shares, g.view.Deadline())
 }
 
-// suspected reports whether an upstream's answer times are not to be learnt from.
+// suspected reports whether an upstream's response times must be left out of the
+// latency statistics.
 func (g *Group) suspected(service, upstream string) bool {
 	g.mu.Lock()
 	s := g.services[service]
@@ -249,23 +254,23 @@
 	return suspects != nil && (*suspects)[upstream]
 }
 
-// rank orders the nodes of a group for standing in, differently for each
-// template so that no node coordinates everything.
+// rank returns a node's position in the order in which the nodes of the group
+// campaign. The order differs by template, so that no node coordinates all groups.
 func (g *Group) rank(node string) int {
-	mine := mix(g.template, node)
+	mine := hash(g.template, node)
 	rank := 0
 	for _, m := range g.roster.Nodes {
 		if m.Leaving || m.Node == node {
 			continue
 		}
-		if other := mix(g.template, m.Node); other < mine || other == mine && strings.Compare(m.Node, node) < 0 {
+		if other := hash(g.template, m.Node); other < mine || other == mine && strings.Compare(m.Node, node) < 0 {
 			rank++
 		}
 	}
 	return rank
 }
 
-// addressOf finds a node in the roster.
+// addressOf returns a node's address in the roster, or "" if it is not listed.
 func (g *Group) addressOf(node string) string {
 	for _, m := range g.roster.Nodes {
 		if m.Node == node {
@@ -275,8 +280,8 @@
 	return ""
 }
 
-// leaderAddress is where the coordinator is reached: as the platform lists it, or
-// as it said itself when it is not listed here yet. Call it with mu held.
+// leaderAddress returns the coordinator's address in the roster or, if it is not
+// listed there yet, the address in the assignment. Call it with mu held.
 func (g *Group) leaderAddress() string {
 	if address := g.addressOf(g.leader.Node); address != "" {
 		return address
@@ -284,7 +289,7 @@
 	return g.leader.Address
 }
 
-// others returns the group's nodes but for this one, in random order.
+// others returns the other nodes of the group in random order.
 func (g *Group) others() []peer.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -15,17 +15,19 @@
 )
 
 const (
-	// heartbeatPeriod is how often a node that suspects nobody is heard. It leaves
-	// three tries in a lease. A node that suspects somebody does not wait for it.
+	// heartbeatPeriod is the time between heartbeats of a node that suspects no
+	// upstream. It allows three tries within a lease. A node that suspects an
+	// upstream sends its next heartbeat early.
 	heartbeatPeriod  = 800 * time.Millisecond
-	heartbeatSpacing = 40 * time.Millisecond // Between urgent ones.
+	heartbeatSpacing = 40 * time.Millisecond // Delay before an early heartbeat.
 	heartbeatTimeout = time.Second
-	// relayAfter is how long the coordinator may be unheard before configuration
-	// is fetched from any other node.
+	// relayAfter is the time without contact with the coordinator after which a
+	// node also fetches configuration from any other node.
 	relayAfter = 5 * heartbeatPeriod / 2
 )
 
-// runHeartbeats tells the coordinator what this node sees and takes its word.
+// runHeartbeats sends heartbeats with this node's evidence to the coordinator and
+// applies the replies.
 func (g *Group) runHeartbeats(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -39,15 +41,17 @@
 		case <-ctx.Done():
 			return
 		}
-		g.beat(ctx)
+		g.sendHeartbeat(ctx)
 		timer.Reset(heartbeatPeriod + rand.N(heartbeatPeriod/8))
 	}
 }
 
-func (g *Group) beat(ctx context.Context) {
+// sendHeartbeat sends a heartbeat to the coordinator and, after relayAfter without
+// contact, to another node or a seed.
+func (g *Group) sendHeartbeat(ctx context.Context) {
 	g.mu.Lock()
 	leader, leading := g.leaderAddress(), g.leading()
-	unheard := time.Since(g.heard)
+	sinceContact := time.Since(g.lastContact)
 	g.mu.Unlock()
 	if leading {
 		return
@@ -55,11 +59,11 @@
 	if leader != "" {
 		g.exchange(ctx, leader)
 	}
-	if leader != "" && unheard < relayAfter {
+	if leader != "" && sinceContact < relayAfter {
 		return
 	}
-	// Nobody to hear it from directly: any other node's configuration and
-	// roster are better than none.
+	// Without the coordinator, any other node's configuration and roster are
+	// better than none.
 	if others := g.others(); len(others) > 0 {
 		g.exchange(ctx, others[0].Address)
 		return
@@ -69,49 +73,49 @@
 	}
 }
 
-// exchange sends one heartbeat and takes the reply.
+// exchange sends one heartbeat and applies the reply.
 func (g *Group) exchange(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	asked := time.Now()
+	sentAt := time.Now()
 	reply, err := g.node.call(ctx, address, &peer.Request{Template: g.template, Heartbeat: g.heartbeat()})
 	if err != nil || reply.Heartbeat == nil {
 		g.node.heartbeats.Add("failed", 1)
 		return
 	}
 	g.node.heartbeats.Add("answered", 1)
-	g.take(reply.Heartbeat, asked)
+	g.applyReply(reply.Heartbeat, sentAt)
 	if reply.Heartbeat.Sequences != nil {
-		g.giveShards(ctx, address, reply.Heartbeat.Sequences)
+		g.pushShards(ctx, address, reply.Heartbeat.Sequences)
 	}
 }
 
-// giveShards pushes to a node what it lacks, such as a coordinator that was cut off
-// when a change came.
-func (g *Group) giveShards(ctx context.Context, address string, theirs map[string]uint64) {
-	news := map[string][]byte{}
+// pushShards pushes the shards that a node lacks or has in older versions, such as
+// those published while the coordinator was cut off.
+func (g *Group) pushShards(ctx context.Context, address string, theirs map[string]uint64) {
+	newer := map[string][]byte{}
 	for key, sequence := range g.node.sequences(g.template) {
 		if sequence > theirs[key] {
-			news[key] = g.node.holder.Shard(key)
+			newer[key] = g.node.holder.Shard(key)
 		}
 	}
-	_, _ = g.node.call(ctx, address, &peer.Request{Template: g.template, Push: &peer.Push{Shards: news}}) // The next heartbeat shows whether it came.
+	_, _ = g.node.call(ctx, address, &peer.Request{Template: g.template, Push: &peer.Push{Shards: newer}}) // The next heartbeat shows whether it arrived.
 }
 
-// heartbeat drains the pending evidence. Should the heartbeat get lost, so is the
-// evidence: told twice, it would count twice.
+// heartbeat builds a heartbeat and drains the pending evidence into it. Evidence in
+// a lost heartbeat is not sent again, since it might be counted twice.
 func (g *Group) heartbeat() *peer.Heartbeat {
 	sequences := g.node.sequences(g.template)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	h := &peer.Heartbeat{
 		Beside: g.node.settings.Beside(),
-		Load:   g.places(g.load()),
+		Load:   g.loadsByIndex(g.load()),
 		Digest: digest(sequences),
 		Roster: g.roster.Version,
-		Epoch:  max(g.view.Epoch(), g.ledger.Promised()),
+		Epoch:  max(g.view.Epoch(), g.operations.Promised()),
 	}
-	if g.wantFull {
+	if g.sendSequences {
 		h.Sequences = sequences
 	}
 	for name, s := range g.services {
@@ -128,11 +132,11 @@
 		}
 		clear(s.pending)
 	}
-	h.Refused = slices.Collect(maps.Keys(g.refused))
+	h.Refused = slices.Collect(maps.Keys(g.leaving))
 	return h
 }
 
-// load lists what this node has in flight.
+// load returns this node's in-flight requests by upstream.
 func (g *Group) load() map[string]uint32 {
 	load := map[string]uint32{}
 	for _, s := range g.services {
@@ -145,15 +149,16 @@
 	return load
 }
 
-// soloStart is how long a starting node waits for the store or a coordinator
-// before it takes the configuration of a node that may itself be behind.
-const soloStart = 5 * time.Second
+// syncTimeout is how long a starting node waits for the store or a coordinator
+// before it accepts configuration from other nodes, which may be out of date.
+const syncTimeout = 5 * time.Second
 
-func (g *Group) take(r *peer.HeartbeatReply, asked time.Time) {
+// applyReply applies the reply to a heartbeat that was sent at sentAt.
+func (g *Group) applyReply(r *peer.HeartbeatReply, sentAt time.Time) {
 	if r.Coordinator {
 		g.synced.Store(true)
 	}
-	if g.synced.Load() || time.Since(g.node.born) > soloStart {
+	if g.synced.Load() || time.Since(g.node.startedAt) > syncTimeout {
 		if len(r.Shards) == 0 && !r.WantFull {
 			g.complete.Store(true) // The digests agree.
 		}
@@ -166,32 +171,33 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.wantFull = r.WantFull
+	g.sendSequences = r.WantFull
 	if r.Leader != nil && r.Leader.Epoch > g.leader.Epoch {
-		g.follow(*r.Leader)
+		g.adoptLeader(*r.Leader)
 	}
 	if !r.Coordinator || r.Stamped == nil {
 		return
 	}
-	news := g.view.Told(*r.Stamped, asked)
+	changed := g.view.Told(*r.Stamped, sentAt)
 	if r.Stamped.Epoch == g.view.Epoch() {
-		g.heard = time.Now()
+		g.lastContact = time.Now()
 	}
 	if r.CrashedAgo > 0 {
-		if at := time.Now().Add(-time.Duration(r.CrashedAgo)); at.After(g.crashed) {
-			g.crashed = at
+		if at := time.Now().Add(-time.Duration(r.CrashedAgo)); at.After(g.lastCrash) {
+			g.lastCrash = at
 		}
 	}
-	g.setLoads(g.names(r.Load))
-	if news {
+	g.setLoads(g.loadsByName(r.Load))
+	if changed {
 		for name, s := range g.services {
-			g.rotate(name, s)
+			g.updateBalancer(name, s)
 		}
 	}
 }
 
-// places names loads by the upstreams' places in the roster; names does the reverse.
-func (g *Group) places(loads map[string]uint32) map[string][]peer.Load {
+// loadsByIndex converts loads by upstream name to loads by index in the roster.
+// loadsByName does the reverse.
+func (g *Group) loadsByIndex(loads map[string]uint32) map[string][]peer.Load {
 	if len(loads) == 0 {
 		return nil
 	}
@@ -206,7 +212,7 @@
 	return found
 }
 
-func (g *Group) names(loads map[string][]peer.Load) map[string]uint32 {
+func (g *Group) loadsByName(loads map[string][]peer.Load) map[string]uint32 {
 	found := map[string]uint32{}
 	for service, list := range loads {
 		upstreams := g.roster.Upstreams[service]
@@ -219,7 +225,7 @@
 	return found
 }
 
-// counts turns the evidence of a heartbeat into counts by name.
+// counts converts the evidence in a heartbeat to counts by upstream name.
 func (g *Group) counts(service string, tallies []peer.Tally) []core.Count {
 	upstreams := g.roster.Upstreams[service]
 	var counts []core.Count
@@ -239,23 +245,24 @@
 	}
 }
 
-// follow takes a newer assignment. Call it with mu held.
-func (g *Group) follow(l peer.Leader) {
+// adoptLeader applies an assignment if it is newer than the current one. Call it
+// with mu held.
+func (g *Group) adoptLeader(l peer.Leader) {
 	if l.Epoch <= g.leader.Epoch {
 		return
 	}
-	g.log.Info("coordinator", zap.String("node", l.Node), zap.Uint64("epoch", l.Epoch))
-	g.before, g.leader = g.leader.Node, l
-	g.heard = time.Now() // It gets as long to be heard as the last one had.
-	mine := l.Node == g.node.identity.Node && l.Incarnation == g.node.identity.Incarnation
-	if !mine {
+	g.log.Info("coordinator changed", zap.String("node", l.Node), zap.Uint64("epoch", l.Epoch))
+	g.previousLeader, g.leader = g.leader.Node, l
+	g.lastContact = time.Now() // The new coordinator gets a full election delay.
+	self := l.Node == g.node.identity.Node && l.Incarnation == g.node.identity.Incarnation
+	if !self {
 		g.stepDown()
 		return
 	}
 	g.takeOver()
 }
 
-// digest is one number for all sequences of a template.
+// digest returns a hash of all sequences of a template.
 func digest(sequences map[string]uint64) uint64 {
 	d := xxhash.New()
 	var number [8]byte
@@ -269,9 +276,9 @@
 	return d.Sum64()
 }
 
-func mix(a, b string) uint64 { return xxhash.Sum64String(a + "/" + b) }
+func hash(a, b string) uint64 { return xxhash.Sum64String(a + "/" + b) }
 
-// sleep waits and reports whether ctx is still alive.
+// sleep waits for d and returns true, or returns false as soon as ctx ends.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/node/leader.go
+++ b/node/leader.go
@@ -13,92 +13,95 @@
 )
 
 const (
-	electionPeriod = 300 * time.Millisecond
-	takeoverAfter  = 3 * time.Second
-	takeoverRank   = 700 * time.Millisecond // Longer for each node that comes before.
-	firstRank      = 150 * time.Millisecond // The same while there has never been a coordinator.
-	collectTimeout = 3 * time.Second
-	collectPause   = 500 * time.Millisecond
-	assignmentKey  = "assignment"
-	silentAfter    = 4 * time.Second
-	clockSkew      = time.Minute
-	// unnoticed is how long before a change of coordinator a node may have been
-	// replaced without the last one's having told the others.
-	unnoticed = 15 * time.Second
+	electionPeriod     = 300 * time.Millisecond
+	electionTimeout    = 3 * time.Second
+	electionRankDelay  = 700 * time.Millisecond // Added for each node of lower rank.
+	firstElectionDelay = 150 * time.Millisecond // Delay per rank while the group has never had a coordinator.
+	collectTimeout     = 3 * time.Second
+	collectRetryDelay  = 500 * time.Millisecond
+	assignmentName     = "assignment"
+	loadExpiry         = 4 * time.Second // A node's load is dropped this long after its last heartbeat.
+	clockSkew          = time.Minute
+	// restartReportDelay bounds how long before a change of coordinator a node may
+	// have restarted without the previous coordinator having reported it.
+	restartReportDelay = 15 * time.Second
 )
 
-// leadership is what only the coordinator has.
+// leadership is the state that only the coordinator has.
 type leadership struct {
-	epoch     uint64
-	began     time.Time
-	sequence  uint64
-	sets      map[string][]core.Standing
-	promised  time.Time            // When the last node promised; zero while some have not.
-	installed bool                 // The judges decide.
-	confirmed time.Time            // When a node last showed that it knows no later epoch.
-	heard     map[string]time.Time // By node.
-	runs      map[string]uint64    // Incarnation by node.
-	stopping  map[string]bool      // Nodes that said so.
-	cancel    context.CancelFunc
+	epoch         uint64
+	startedAt     time.Time
+	sequence      uint64
+	sets          map[string][]core.Standing // Published ejection states, by service.
+	promisedAt    time.Time                  // When the last node promised the epoch, or decisions were last suspended; zero before.
+	deciding      bool                       // The outlier detectors may eject.
+	confirmedAt   time.Time                  // When another node last showed that it has promised no later epoch.
+	lastHeartbeat map[string]time.Time       // By node.
+	incarnations  map[string]uint64          // By node.
+	stopping      map[string]bool            // Nodes that announced a planned stop.
+	cancel        context.CancelFunc
 }
 
-// oversee is the coordinator's part of time passing. Call it with mu held.
-func (g *Group) oversee(now time.Time) {
+// advanceLeader does the periodic work of the coordinator: it starts or suspends
+// decisions, renews its own lease and sums the loads. Call it with mu held.
+func (g *Group) advanceLeader(now time.Time) {
 	l := g.lead
 	alone := len(g.roster.Nodes) <= 1
 	if alone {
-		l.confirmed = now
+		l.confirmedAt = now
 	}
-	if l.promised.IsZero() && g.claims.Waiting() == 0 {
-		l.promised = now
+	if l.promisedAt.IsZero() && g.claims.Waiting() == 0 {
+		l.promisedAt = now
 	}
-	settled := l.epoch == 1 || now.After(l.promised.Add(core.Settle))
-	confirmed := now.Before(l.confirmed.Add(core.Lease))
-	if !l.installed && !l.promised.IsZero() && settled && confirmed && g.node.local == nil {
-		l.installed = true
+	settled := l.epoch == 1 || now.After(l.promisedAt.Add(core.Settle))
+	confirmed := now.Before(l.confirmedAt.Add(core.Lease))
+	if !l.deciding && !l.promisedAt.IsZero() && settled && confirmed && g.node.newLocal == nil {
+		l.deciding = true
 		for _, s := range g.services {
-			s.judge.Update(core.Installed{At: now})
+			s.detector.Update(core.Installed{At: now})
 		}
-		g.log.Info("deciding", zap.Uint64("epoch", l.epoch))
+		g.log.Info("ejection enabled", zap.Uint64("epoch", l.epoch))
 	}
-	if l.installed && !confirmed {
-		g.suspend("no other node confirms")
+	if l.deciding && !confirmed {
+		g.suspend("not confirmed by another node")
 	}
 	if confirmed {
-		g.view.Told(g.stamped(), l.confirmed)
-		g.heard = now
+		g.view.Told(g.stamped(), l.confirmedAt)
+		g.lastContact = now
 	}
-	g.countLoads(now)
+	g.updateLoads(now)
 }
 
-// suspend stops the judges until another node has confirmed this coordinator.
-func (g *Group) suspend(why string) {
-	g.log.Warn("not deciding", zap.String("reason", why))
-	g.lead.installed = false
-	g.lead.promised = time.Now() // What was told before must run out again.
+// suspend stops the outlier detectors until another node has confirmed this
+// coordinator and earlier leases have expired.
+func (g *Group) suspend(reason string) {
+	g.log.Warn("ejection suspended", zap.String("reason", reason))
+	g.lead.deciding = false
+	g.lead.promisedAt = time.Now() // Leases of earlier decisions must expire first.
 	g.lead.sets = map[string][]core.Standing{}
 	for _, s := range g.services {
-		s.judge.Update(core.Dismissed{At: time.Now()})
+		s.detector.Update(core.Dismissed{At: time.Now()})
 	}
 }
 
-// paused handles that this process stood still: somebody may have taken over.
-func (g *Group) paused(gap time.Duration) {
-	g.log.Warn("this process stood still", zap.Duration("gap", gap))
+// handlePause handles a pause of this process, during which another node may have
+// become the coordinator. Call it with mu held.
+func (g *Group) handlePause(gap time.Duration) {
+	g.log.Warn("process was paused", zap.Duration("gap", gap))
 	if g.leading() {
-		g.lead.confirmed = time.Time{}
-		if g.lead.installed {
-			g.suspend("stood still")
+		g.lead.confirmedAt = time.Time{}
+		if g.lead.deciding {
+			g.suspend("process was paused")
 		}
 		go g.reconfirm(g.lead.epoch)
 	}
 }
 
-// reconfirm asks another node whether it has promised a later epoch. One node is
-// enough: a successor decides nothing before all have promised it.
+// reconfirm asks another node whether it has promised a later epoch. One answer is
+// enough: a successor decides nothing before all nodes have promised its epoch.
 func (g *Group) reconfirm(epoch uint64) {
 	for _, m := range g.others() {
-		ctx, cancel := context.WithTimeout(g.node.life, collectTimeout)
+		ctx, cancel := context.WithTimeout(g.node.lifetime, collectTimeout)
 		reply, err := g.node.call(ctx, m.Address, &peer.Request{Template: g.template, Collect: &peer.Collect{Epoch: epoch}})
 		cancel()
 		if err != nil || reply.Collect == nil {
@@ -107,7 +110,7 @@
 		g.mu.Lock()
 		if g.leading() && g.lead.epoch == epoch {
 			if reply.Collect.Promised {
-				g.lead.confirmed = time.Now()
+				g.lead.confirmedAt = time.Now()
 			} else {
 				g.stepDown()
 			}
@@ -117,22 +120,22 @@
 	}
 }
 
-// stepDown ends this node's time as coordinator. Call it with mu held.
+// stepDown ends this node's term as coordinator. Call it with mu held.
 func (g *Group) stepDown() {
 	if !g.leading() {
 		return
 	}
-	g.deposed = deposed{epoch: g.lead.epoch, complete: g.claims.Complete(time.Now())}
+	g.lastTerm = pastTerm{epoch: g.lead.epoch, complete: g.claims.Complete(time.Now())}
 	g.lead.cancel()
 	g.lead = nil
 	g.claims.Update(core.Dismissed{At: time.Now()})
 	for _, s := range g.services {
-		s.judge.Update(core.Dismissed{At: time.Now()})
+		s.detector.Update(core.Dismissed{At: time.Now()})
 	}
 	g.log.Info("no longer coordinator")
 }
 
-// publish puts a service's set among what is told to the other nodes.
+// publish replaces the decisions on a service's upstreams and broadcasts them.
 func (g *Group) publish(service string, set []core.Standing) {
 	if !g.leading() {
 		return
@@ -141,36 +144,36 @@
 	if slices.Equal(l.sets[service], set) {
 		return
 	}
-	l.sets = maps.Clone(l.sets) // The old map may be on its way to other nodes.
+	l.sets = maps.Clone(l.sets) // The old map may still be being encoded for other nodes.
 	l.sets[service] = set
 	l.sequence++
 	stamped := g.stamped()
 	g.view.Told(stamped, time.Time{})
-	g.spread(&peer.Push{Stamped: &stamped})
+	g.broadcast(&peer.Push{Stamped: &stamped})
 }
 
 func (g *Group) stamped() core.Stamped {
 	return core.Stamped{Epoch: g.lead.epoch, Sequence: g.lead.sequence, Sets: g.lead.sets}
 }
 
-// spread pushes news to every other node without waiting. Call it with mu held.
-func (g *Group) spread(p *peer.Push) {
+// broadcast pushes p to every other node without waiting. Call it with mu held.
+func (g *Group) broadcast(p *peer.Push) {
 	for _, m := range g.roster.Nodes {
 		if m.Node == g.node.identity.Node {
 			continue
 		}
 		go func() {
-			ctx, cancel := context.WithTimeout(g.node.life, heartbeatTimeout)
+			ctx, cancel := context.WithTimeout(g.node.lifetime, heartbeatTimeout)
 			defer cancel()
-			_, _ = g.node.call(ctx, m.Address, &peer.Request{Template: g.template, Push: p}) // The next heartbeat brings it too.
+			_, _ = g.node.call(ctx, m.Address, &peer.Request{Template: g.template, Push: p}) // The next heartbeat makes up for a lost push.
 		}()
 	}
 }
 
-// countLoads sums what all nodes have in flight. Call it with mu held.
-func (g *Group) countLoads(now time.Time) {
-	for node, at := range g.lead.heard {
-		if now.Sub(at) > silentAfter {
+// updateLoads sums the in-flight requests of all nodes. Call it with mu held.
+func (g *Group) updateLoads(now time.Time) {
+	for node, at := range g.lead.lastHeartbeat {
+		if now.Sub(at) > loadExpiry {
 			delete(g.loads, node)
 		}
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -26,35 +26,35 @@
 	"eiderfold/settings"
 )
 
-// Node is one process of the fleet.
+// Node is one proxy process of the fleet.
 type Node struct {
-	settings *settings.Settings
-	identity peer.Identity
-	log      *zap.Logger
-	store    port.Store
-	list     port.InstanceList
-	holder   *config.Holder
-	peers    *peer.Transport
-	handler  *proxy.Handler
-	groups   map[string]*Group // Fixed at the start.
-	callers  *http.Server
-	admin    *http.Server
-	born     time.Time
-	life     context.Context // Ends when the node has stopped.
-	end      context.CancelFunc
-	stopping atomic.Bool
-	open     atomic.Int64 // Callers' connections.
-	working  atomic.Int64 // Callers' requests.
-	listener net.Listener // For callers.
-	running  sync.WaitGroup
-	local    func(core.Policy) Local // Nil for the product's own decisions.
+	settings        *settings.Settings
+	identity        peer.Identity
+	log             *zap.Logger
+	store           port.Store
+	list            port.InstanceList
+	holder          *config.Holder
+	peers           *peer.Transport
+	handler         *proxy.Handler
+	groups          map[string]*Group // Fixed at the start.
+	callers         *http.Server
+	admin           *http.Server
+	startedAt       time.Time
+	lifetime        context.Context // Ends when the node has stopped.
+	cancel          context.CancelFunc
+	stopping        atomic.Bool
+	openConnections atomic.Int64 // Open connections from callers.
+	activeRequests  atomic.Int64 // Requests of callers being served.
+	listener        net.Listener // For callers.
+	loops           sync.WaitGroup
+	newLocal        func(core.Policy) Local // Nil for the weights of package core, with ejection.
 
 	decisions  *expvar.Map
 	heartbeats *expvar.Map
 	platform   *expvar.Map
 }
 
-// Option changes a Node at its making.
+// Option configures a Node in New.
 type Option func(*Node)
 
 // WithStore sets the platform's store.
@@ -66,31 +66,33 @@
 // WithLog sets the logger.
 func WithLog(l *zap.Logger) Option { return func(n *Node) { n.log = l } }
 
-// Local is how a node weighs upstreams by what it sees itself.
+// Local computes a node's local weights of a service's upstreams from the node's
+// own evidence.
 type Local interface {
-	// Update takes Members, Evidence of this node, and Tick.
+	// Update handles Members, Evidence of this node, and Tick.
 	Update(m core.Message)
 	// Weight returns the factor for an upstream's share, 0 to send it nothing.
 	Weight(upstream string) float64
-	// Suspects reports whether answer times of an upstream must not be learnt from.
+	// Suspects reports whether the response times of an upstream must be left out of
+	// the latency statistics.
 	Suspects(upstream string) bool
 }
 
-// WithLocal replaces the avoider, and with it all ejection that is agreed on. It
-// serves to measure other policies on the same path of a request.
-func WithLocal(local func(core.Policy) Local) Option { return func(n *Node) { n.local = local } }
+// WithLocal replaces the local weights of package core and turns off ejection by the
+// coordinator. It allows benchmarks of other policies on the same request path.
+func WithLocal(local func(core.Policy) Local) Option { return func(n *Node) { n.newLocal = local } }
 
 // WithIncarnation sets the process's incarnation, which must be greater than that
 // of every earlier process under the same name.
 func WithIncarnation(i uint64) Option { return func(n *Node) { n.identity.Incarnation = i } }
 
-// New opens the node's ports and prepares it. It serves from Run on.
+// New creates a node and starts to serve its peers. Run serves callers and operators.
 func New(s *settings.Settings, material *keys.Material, options ...Option) (*Node, error) {
 	n := &Node{
 		settings:   s,
 		identity:   peer.Identity{Node: s.Node(), Incarnation: uint64(time.Now().UnixNano())},
 		log:        zap.NewNop(),
-		born:       time.Now(),
+		startedAt:  time.Now(),
 		holder:     config.NewHolder(),
 		groups:     map[string]*Group{},
 		decisions:  new(expvar.Map).Init(),
@@ -101,7 +103,7 @@
 		o(n)
 	}
 	n.log = n.log.With(zap.String("node", s.Node()))
-	n.life, n.end = context.WithCancel(context.Background())
+	n.lifetime, n.cancel = context.WithCancel(context.Background())
 	for _, t := range s.Templates() {
 		n.groups[t] = newGroup(n, t)
 	}
@@ -109,16 +111,16 @@
 	if n.peers, err = peer.Listen(s.Peers(), material, n.answer); err != nil {
 		return nil, err
 	}
-	any, keyed := s.Body()
+	body, keyedBody := s.Body()
 	n.handler = proxy.NewHandler(n.holder, n, n,
 		proxy.WithNode(s.Node()),
-		proxy.WithLimits(proxy.Limits{Body: any, KeyedBody: keyed}),
+		proxy.WithLimits(proxy.Limits{Body: body, KeyedBody: keyedBody}),
 		proxy.WithSuspects(n.suspected),
 	)
 	return n, nil
 }
 
-// Holder returns the configuration in force, for the admin API.
+// Holder returns the holder of the configuration in force, for the admin API.
 func (n *Node) Holder() *config.Holder { return n.holder }
 
 // PeerAddress returns the IP:port where other nodes reach this one.
@@ -143,10 +145,11 @@
 }
 
 // Begin implements proxy.Operations.
-func (n *Node) Begin(ctx context.Context, template string, key core.Key, body uint64, born time.Time) (proxy.Operation, *core.Recorded, *result.Error) {
-	return n.groups[template].Begin(ctx, key, body, born)
+func (n *Node) Begin(ctx context.Context, template string, key core.Key, body uint64, keyCreated time.Time) (proxy.Operation, *core.Recorded, *result.Error) {
+	return n.groups[template].Begin(ctx, key, body, keyCreated)
 }
 
+// suspected implements the function for proxy.WithSuspects.
 func (n *Node) suspected(u *proxy.Upstream) bool {
 	for _, g := range n.groups {
 		if s := g.Service(u.Service()); s != nil {
@@ -156,16 +159,16 @@
 	return false
 }
 
-// source returns the IP number this node's connections come from.
-func (n *Node) source() net.IP {
-	where, err := netip.ParseAddrPort(n.settings.Peers())
+// sourceIP returns the IP address from which this node connects to upstreams.
+func (n *Node) sourceIP() net.IP {
+	addrPort, err := netip.ParseAddrPort(n.settings.Peers())
 	if err != nil {
 		return nil
 	}
-	return where.Addr().AsSlice()
+	return addrPort.Addr().AsSlice()
 }
 
-// call sends a request as this node.
+// call sends a request to a peer with this node's identity.
 func (n *Node) call(ctx context.Context, address string, r *peer.Request) (*peer.Reply, error) {
 	r.From = n.identity
 	r.From.Stopping = n.stopping.Load()
@@ -176,8 +179,8 @@
 	return peer.Leader{Node: n.identity.Node, Incarnation: n.identity.Incarnation, Address: n.peers.Address(), Epoch: epoch}
 }
 
-// listed reports whether the platform lists this node for a template. One that is
-// not listed might be unknown to others, and must not coordinate them.
+// listed reports whether the platform lists this node for a template. A node that
+// is not listed may be unknown to others and must not become the coordinator.
 func (n *Node) listed(template string) bool {
 	g := n.groups[template]
 	g.mu.Lock()
@@ -185,7 +188,7 @@
 	return g.addressOf(n.identity.Node) != ""
 }
 
-// sequences returns the sequences in force of one template.
+// sequences returns the sequences in force of one template, by shard.
 func (n *Node) sequences(template string) map[string]uint64 {
 	all := n.holder.Now().Sequences()
 	if len(n.groups) == 1 {
@@ -198,44 +201,46 @@
 
 func prefixOf(template string) string { return config.TemplatePrefix(template) }
 
-// apply puts a shard in force if it is newer, and reports whether it was.
+// apply puts a shard in force if it is newer, and reports whether it did.
 func (n *Node) apply(key string, value []byte) bool {
-	place, err := config.ParseKey(key)
-	if err != nil || n.groups[place.Template] == nil {
+	parsed, err := config.ParseKey(key)
+	if err != nil || n.groups[parsed.Template] == nil {
 		return false
 	}
-	news, err := n.holder.Apply(key, value)
+	changed, err := n.holder.Apply(key, value)
 	if err != nil {
-		n.log.Error("configuration refused; what was in force stays", zap.String("shard", key), zap.Error(err))
+		n.log.Error("configuration refused; keeping the version in force", zap.String("shard", key), zap.Error(err))
 		return false
 	}
-	if !news {
+	if !changed {
 		return false
 	}
 	n.log.Info("configuration in force", zap.String("shard", key), zap.Uint64("sequence", n.holder.Now().Sequences()[key]))
-	if place.Itself {
-		n.groups[place.Template].configure()
+	if parsed.Itself {
+		n.groups[parsed.Template].configure()
 	}
 	return true
 }
 
-// Applied takes a shard that this node published itself, and tells the group.
+// Applied puts in force a shard that this node has published to the store, and
+// pushes it to the group.
 func (n *Node) Applied(key string, value []byte) {
 	if !n.apply(key, value) {
 		return
 	}
-	place, err := config.ParseKey(key)
+	parsed, err := config.ParseKey(key)
 	if err != nil {
 		return
 	}
-	g := n.groups[place.Template]
+	g := n.groups[parsed.Template]
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.spread(&peer.Push{Shards: map[string][]byte{key: value}})
+	g.broadcast(&peer.Push{Shards: map[string][]byte{key: value}})
 }
 
-// Run serves until ctx ends, and then stops without cutting a request. admin
-// serves operators.
+// Run serves until ctx ends and then performs a planned stop, which lets in-flight
+// requests finish within the stop deadline of the settings. admin handles the
+// requests of operators. A nil tls means plain HTTP.
 func (n *Node) Run(ctx context.Context, admin http.Handler, tls *keys.Material) error {
 	callers, err := n.listen(n.settings.Callers(), tls)
 	if err != nil {
@@ -246,7 +251,7 @@
 	if err != nil {
 		return err
 	}
-	n.callers = n.server(n.limited(n.handler))
+	n.callers = n.server(n.limitConnections(n.handler))
 	n.callers.ConnState = n.countConnections
 	n.admin = n.server(admin)
 	for _, g := range n.groups {
@@ -261,7 +266,7 @@
 		zap.String("peers", n.peers.Address()))
 	select {
 	case err := <-failed:
-		n.end()
+		n.cancel()
 		return errors.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
@@ -270,17 +275,19 @@
 
 func (n *Node) start(g *Group) {
 	for _, loop := range []func(context.Context){g.runTicks, g.runHeartbeats, g.runElections, g.runStoreWatch, g.runNodeWatch, g.runUpstreamWatch} {
-		n.running.Go(func() { loop(n.life) })
+		n.loops.Go(func() { loop(n.lifetime) })
 	}
 }
 
-// listen opens a TCP port with the settings' bound on connections.
+// listen opens a TCP port with a limit on connections, with TLS unless material is
+// nil.
 func (n *Node) listen(address string, material *keys.Material) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
-	// Over the limit callers are told so; this is for when they do not listen.
+	// limitConnections refuses requests above the limit; twice the limit is the hard
+	// bound for callers that keep their connections nevertheless.
 	l = netutil.LimitListener(l, 2*n.settings.Connections())
 	if material == nil {
 		return l, nil
@@ -288,17 +295,18 @@
 	return tlsListener(l, material), nil
 }
 
-// limited refuses requests of connections over the settings' limit.
-func (n *Node) limited(next http.Handler) http.Handler {
+// limitConnections refuses all requests while more connections than the settings
+// allow are open.
+func (n *Node) limitConnections(next http.Handler) http.Handler {
 	limit := int64(n.settings.Connections())
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if n.open.Load() > limit {
+		if n.openConnections.Load() > limit {
 			w.Header().Set("Connection", "close")
 			result.Write(w, result.New(result.TooManyConnections, "the node holds too many connections").WithRetryAfter(time.Second))
 			return
 		}
-		n.working.Add(1)
-		defer n.working.Add(-1)
+		n.activeRequests.Add(1)
+		defer n.activeRequests.Add(-1)
 		next.ServeHTTP(w, r)
 	})
 }
@@ -306,9 +314,9 @@
 func (n *Node) countConnections(_ net.Conn, s http.ConnState) {
 	switch s {
 	case http.StateNew:
-		n.open.Add(1)
+		n.openConnections.Add(1)
 	case http.StateClosed, http.StateHijacked:
-		n.open.Add(-1)
+		n.openConnections.Add(-1)
 	}
 }
 
@@ -319,11 +327,11 @@
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: n.settings.SlowCaller(),
-		IdleTimeout:       idleCaller,
+		IdleTimeout:       callerIdleTimeout,
 		MaxHeaderBytes:    n.settings.Header(),
 		Protocols:         protocols,
 		ErrorLog:          zap.NewStdLog(n.log.Named("http")),
 	}
 }
 
-const idleCaller = 2 * time.Minute
+const callerIdleTimeout = 2 * time.Minute
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -21,17 +21,17 @@
 	"eiderfold/settings"
 )
 
-// freePort asks the kernel for a port.
+// freePort returns an address with a port that was free a moment ago.
 func freePort(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close() //nolint:errcheck // It only served to find a port.
+	defer l.Close() //nolint:errcheck // Only used to find a port.
 	return l.Addr().String()
 }
 
-// running starts a node that knows no template, with TLS towards callers.
-func running(t *testing.T, connections int) (url string, client func() *http.Client) {
+// startNode starts a node without any configuration, with TLS for callers.
+func startNode(t *testing.T, connections int) (url string, client func() *http.Client) {
 	t.Helper()
 	authority, err := keys.NewAuthority("a")
 	require.NoError(t, err)
@@ -56,11 +56,11 @@
 	n, err := New(s, material, WithStore(memory.NewStore()), WithList(memory.NewList()))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
-	go func() { ended <- n.Run(ctx, http.NotFoundHandler(), material) }()
+	done := make(chan error, 1)
+	go func() { done <- n.Run(ctx, http.NotFoundHandler(), material) }()
 	t.Cleanup(func() {
 		cancel()
-		assert.NoError(t, <-ended)
+		assert.NoError(t, <-done)
 	})
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(authority.Certificate())
@@ -73,27 +73,29 @@
 
 func get(t *testing.T, c *http.Client, url string) *http.Response {
 	t.Helper()
-	var answer *http.Response
+	var response *http.Response
 	require.Eventually(t, func() bool {
 		var err error
-		answer, err = c.Get(url)
+		response, err = c.Get(url)
 		return err == nil
 	}, 10*time.Second, time.Millisecond)
-	_ = answer.Body.Close()
-	return answer
+	_ = response.Body.Close()
+	return response
 }
 
-// TestTLSAndHTTP2 asks a node that knows nothing: it says so, and guesses nothing.
+// TestTLSAndHTTP2 guards against a node that does not offer HTTP/2 over TLS, or that
+// answers with anything but "no configuration" before it has one.
 func TestTLSAndHTTP2(t *testing.T) {
-	url, client := running(t, 10)
-	answer := get(t, client(), url)
-	assert.Equal(t, 2, answer.ProtoMajor)
-	assert.Equal(t, fmt.Sprint(int(result.NoConfiguration)), answer.Header.Get(result.Header))
+	url, client := startNode(t, 10)
+	response := get(t, client(), url)
+	assert.Equal(t, 2, response.ProtoMajor)
+	assert.Equal(t, fmt.Sprint(int(result.NoConfiguration)), response.Header.Get(result.Header))
 }
 
-// TestTooManyConnections opens more connections than the settings allow.
+// TestTooManyConnections guards against serving more connections than the settings
+// allow.
 func TestTooManyConnections(t *testing.T) {
-	url, client := running(t, 1)
+	url, client := startNode(t, 1)
 	first := client()
 	assert.Equal(t, fmt.Sprint(int(result.NoConfiguration)), get(t, first, url).Header.Get(result.Header))
 	assert.Equal(t, fmt.Sprint(int(result.TooManyConnections)), get(t, client(), url).Header.Get(result.Header))
--- a/node/peers.go
+++ b/node/peers.go
@@ -11,11 +11,11 @@
 	"eiderfold/peer"
 )
 
-// heardLately is how fresh a node's own word of the coordinator must be for it to
-// vouch for it to another node.
-const heardLately = 5 * heartbeatPeriod / 2
+// contactTimeout is how recent a node's last contact with the coordinator must be for
+// it to count as reachable, for claims and in answers to other nodes.
+const contactTimeout = 5 * heartbeatPeriod / 2
 
-// answer serves a request of another node.
+// answer handles a request from another node.
 func (n *Node) answer(_ context.Context, r *peer.Request) *peer.Reply {
 	if r.Status != nil {
 		return &peer.Reply{Status: &peer.StatusReply{
@@ -32,7 +32,7 @@
 	case r.Heartbeat != nil:
 		return &peer.Reply{Heartbeat: g.answerHeartbeat(r.From, r.Heartbeat)}
 	case r.Push != nil:
-		g.takePush(r.Push)
+		g.applyPush(r.Push)
 		return &peer.Reply{Done: true}
 	case r.Claim != nil:
 		return &peer.Reply{Claim: g.answerClaim(r.From, r.Claim)}
@@ -54,11 +54,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	reply := &peer.HeartbeatReply{}
-	g.compare(reply, h, sequences)
+	g.compareShards(reply, h, sequences)
 	if !g.leading() {
 		leader := g.leader
 		reply.Leader = &leader
-		reply.HeardLeader = now.Sub(g.heard) < heardLately && g.leader.Epoch > 0
+		reply.HeardLeader = now.Sub(g.lastContact) < contactTimeout && g.leader.Epoch > 0
 		reply.Roster = g.newerRoster(h)
 		return reply
 	}
@@ -67,38 +67,39 @@
 		return reply
 	}
 	reply.Roster = g.newerRoster(h)
-	g.meet(from, now)
+	g.recordHeartbeat(from, now)
 	if h.Epoch == g.lead.epoch {
-		g.lead.confirmed = now
+		g.lead.confirmedAt = now
 	}
-	if reply.Roster == nil { // Places of another roster mean nothing here.
-		g.loads[from.Node] = g.names(h.Load)
-		g.takeEvidence(from, h, now)
+	if reply.Roster == nil { // Indexes refer to the sender's roster, which must be the same.
+		g.loads[from.Node] = g.loadsByName(h.Load)
+		g.applyEvidence(from, h, now)
 	}
-	reply.Load = g.places(g.totalLoad())
+	reply.Load = g.loadsByIndex(g.totalLoad())
 	for _, r := range h.Refused {
-		g.refuse(r)
+		g.markLeaving(r)
 	}
 	reply.Coordinator = true
 	stamped := g.stamped()
 	reply.Stamped = &stamped
-	if !g.crashed.IsZero() {
-		reply.CrashedAgo = int64(now.Sub(g.crashed))
+	if !g.lastCrash.IsZero() {
+		reply.CrashedAgo = int64(now.Sub(g.lastCrash))
 	}
 	return reply
 }
 
-func (g *Group) takeEvidence(from peer.Identity, h *peer.Heartbeat, now time.Time) {
+func (g *Group) applyEvidence(from peer.Identity, h *peer.Heartbeat, now time.Time) {
 	for name, tallies := range h.Evidence {
 		if s := g.services[name]; s != nil {
 			e := core.Evidence{At: now, Reporter: from.Node, Beside: h.Beside, Counts: g.counts(name, tallies)}
-			g.carryOut(name, s, s.judge.Update(e))
+			g.execute(name, s, s.detector.Update(e))
 		}
 	}
 }
 
-// compare answers with the shards the other node lacks, or asks which it has.
-func (g *Group) compare(reply *peer.HeartbeatReply, h *peer.Heartbeat, own map[string]uint64) {
+// compareShards adds to reply the shards that the other node lacks, or requests its
+// sequences if it sent only a digest and the digests differ.
+func (g *Group) compareShards(reply *peer.HeartbeatReply, h *peer.Heartbeat, own map[string]uint64) {
 	if h.Digest == digest(own) {
 		return
 	}
@@ -116,12 +117,13 @@
 	}
 	for key, sequence := range h.Sequences {
 		if sequence > own[key] {
-			reply.Sequences = own // The other one is ahead and pushes what we lack.
+			reply.Sequences = own // The other node is ahead and pushes what this one lacks.
 			break
 		}
 	}
 }
 
+// newerRoster returns this node's roster, or nil if the sender of h has the same one.
 func (g *Group) newerRoster(h *peer.Heartbeat) *peer.Roster {
 	if h.Roster == g.roster.Version && h.Epoch == g.roster.Epoch {
 		return nil
@@ -130,49 +132,49 @@
 	return &roster
 }
 
-// meet notes that a node is alive, and whether it was restarted without having
-// said that it stops. Call it with mu held.
-func (g *Group) meet(from peer.Identity, now time.Time) {
+// recordHeartbeat records that a node is alive, and detects a restart without a
+// planned stop. Call it with mu held.
+func (g *Group) recordHeartbeat(from peer.Identity, now time.Time) {
 	l := g.lead
-	l.heard[from.Node] = now
-	if before, known := l.runs[from.Node]; known && from.Incarnation > before {
+	l.lastHeartbeat[from.Node] = now
+	if before, known := l.incarnations[from.Node]; known && from.Incarnation > before {
 		if !l.stopping[from.Node] {
-			g.crashed = now
-			g.log.Warn("a node was restarted unplanned", zap.String("node", from.Node))
+			g.lastCrash = now
+			g.log.Warn("node restarted without a planned stop", zap.String("node", from.Node))
 		}
 		delete(l.stopping, from.Node)
 	}
-	if from.Incarnation >= l.runs[from.Node] {
-		l.runs[from.Node] = from.Incarnation
+	if from.Incarnation >= l.incarnations[from.Node] {
+		l.incarnations[from.Node] = from.Incarnation
 	}
 }
 
-// refuse notes an upstream that said itself that it is leaving, by name and
-// generation. Call it with mu held.
-func (g *Group) refuse(nameAndGeneration string) {
-	if g.refused[nameAndGeneration] {
+// markLeaving marks an upstream that announced that it is leaving, by name and
+// generation, in the roster. Call it with mu held.
+func (g *Group) markLeaving(nameAndGeneration string) {
+	if g.leaving[nameAndGeneration] {
 		return
 	}
-	g.refused[nameAndGeneration] = true
+	g.leaving[nameAndGeneration] = true
 	name, _, _ := strings.Cut(nameAndGeneration, "/")
 	g.log.Info("upstream leaving", zap.String("upstream", name))
 	next := map[string][]peer.Upstream{}
 	for service, upstreams := range g.roster.Upstreams {
 		for _, u := range upstreams {
-			u.Leaving = u.Leaving || g.refused[u.Name+"/"+u.Generation]
+			u.Leaving = u.Leaving || g.leaving[u.Name+"/"+u.Generation]
 			next[service] = append(next[service], u)
 		}
 	}
 	g.roster.Upstreams = next
 	g.roster.Version++
 	for service, s := range g.services {
-		g.populate(service, s)
+		g.syncUpstreams(service, s)
 	}
 	roster := g.roster
-	g.spread(&peer.Push{Roster: &roster})
+	g.broadcast(&peer.Push{Roster: &roster})
 }
 
-func (g *Group) takePush(p *peer.Push) {
+func (g *Group) applyPush(p *peer.Push) {
 	for key, value := range p.Shards {
 		g.node.apply(key, value)
 	}
@@ -182,11 +184,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if p.Leader != nil {
-		g.follow(*p.Leader)
+		g.adoptLeader(*p.Leader)
 	}
 	if p.Stamped != nil && g.view.Told(*p.Stamped, time.Time{}) {
 		for name, s := range g.services {
-			g.rotate(name, s)
+			g.updateBalancer(name, s)
 		}
 	}
 }
@@ -194,23 +196,23 @@
 func (g *Group) answerCollect(c *peer.Collect) *peer.Collected {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ledger := g.ledger.Update(core.Promise{Epoch: c.Epoch})
-	if !ledger.Accepted || !g.view.Promise(c.Epoch) {
+	promise := g.operations.Update(core.Promise{Epoch: c.Epoch})
+	if !promise.Accepted || !g.view.Promise(c.Epoch) {
 		return &peer.Collected{}
 	}
-	reply := &peer.Collected{Promised: true, Held: g.ledger.Held(g.holder(0)), Nodes: g.roster.Nodes, Previous: g.answered}
-	reply.Adopted, reply.By = g.ledger.Adopted(), g.holder(0)
-	g.answered = c.Epoch
-	reply.Age = int64(time.Since(g.node.born))
+	reply := &peer.Collected{Promised: true, Held: g.operations.Held(g.holder(0)), Nodes: g.roster.Nodes, Previous: g.collectEpoch}
+	reply.Adopted, reply.By = g.operations.Adopted(), g.holder(0)
+	g.collectEpoch = c.Epoch
+	reply.Age = int64(time.Since(g.node.startedAt))
 	if g.leading() && g.lead.epoch < c.Epoch {
 		g.stepDown()
 	}
-	// Also what was known in an earlier term: the coordinator after it may have
-	// been lost before it could collect.
+	// Include the grants of this node's own earlier term as coordinator: its
+	// successor may have been lost before it could collect them.
 	reply.Held = append(reply.Held, g.claims.Held()...)
-	reply.Complete = g.deposed.epoch == c.Epoch-1 && g.deposed.complete
-	if !g.crashed.IsZero() {
-		reply.CrashedAgo = int64(time.Since(g.crashed))
+	reply.Complete = g.lastTerm.epoch == c.Epoch-1 && g.lastTerm.complete
+	if !g.lastCrash.IsZero() {
+		reply.CrashedAgo = int64(time.Since(g.lastCrash))
 	}
 	return reply
 }
@@ -219,8 +221,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.leading() || g.addressOf(from.Node) == "" {
-		// A node that the platform does not list yet might be unknown to the
-		// next coordinator, which could then not ask it what it held.
+		// A node that the platform does not list yet may be unknown to the next
+		// coordinator, which could then not collect its operations.
 		return &core.Answer{Verdict: core.Refused}
 	}
 	claim := core.Claim{At: time.Now(), Key: c.Key, Body: c.Body, Holder: c.Holder, Instead: c.Instead}
@@ -235,18 +237,18 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	own := i.Holder.Node == g.node.identity.Node && i.Holder.Incarnation == g.node.identity.Incarnation
-	r := g.ledger.Update(core.Inquire{Key: i.Key, Holder: i.Holder, Own: own})
+	r := g.operations.Update(core.Inquire{Key: i.Key, Holder: i.Holder, Own: own})
 	return &peer.Inquired{Stage: r.Stage, Answer: r.Answer}
 }
 
 func (g *Group) answerWitness(w *peer.Witness) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if w.Epoch < g.ledger.Promised() {
+	if w.Epoch < g.operations.Promised() {
 		return false
 	}
-	g.ledger.Update(core.Promise{Epoch: w.Epoch})
-	g.remember(w.Held)
+	g.operations.Update(core.Promise{Epoch: w.Epoch})
+	g.recordWitnessed(w.Held)
 	return true
 }
 
@@ -254,8 +256,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if h.To == (core.Holder{}) {
-		g.ledger.Update(core.Adopt{At: time.Now(), Entries: h.Entries})
-		g.remember(h.Held)
+		g.operations.Update(core.Adopt{At: time.Now(), Entries: h.Entries})
+		g.recordWitnessed(h.Held)
 		return true
 	}
 	if !g.leading() {
@@ -267,10 +269,10 @@
 	return true
 }
 
-// remember keeps grants for others. Call it with mu held.
-func (g *Group) remember(held []core.Held) {
+// recordWitnessed records grants to other nodes. Call it with mu held.
+func (g *Group) recordWitnessed(held []core.Held) {
 	now := time.Now()
 	for _, h := range held {
-		g.ledger.Update(core.Witness{At: now, Held: h})
+		g.operations.Update(core.Witness{At: now, Held: h})
 	}
 }
--- a/node/stop.go
+++ b/node/stop.go
@@ -17,9 +17,9 @@
 
 const handoverTimeout = 3 * time.Second
 
-// stop ends the node by plan, in this order: another node coordinates, callers
-// learn to go elsewhere, what is in flight ends, and what is remembered of keyed
-// operations goes to another node.
+// stop performs a planned stop, in this order: transfer the coordinator role, let
+// callers switch to other nodes, finish in-flight requests, and hand over the
+// operation table to another node.
 func (n *Node) stop() error {
 	n.log.Info("stopping")
 	n.stopping.Store(true)
@@ -27,41 +27,41 @@
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.StopDeadline())
 	defer cancel()
 	for _, g := range n.groups {
-		g.resign(ctx)
-		g.hurry()
+		g.transferLeadership(ctx)
+		g.requestHeartbeat()
 	}
 	sleep(ctx, n.settings.Grace())
 	_ = n.listener.Close() // Only the server reads its error, and it is stopping.
-	n.linger(ctx)
+	n.awaitIdle(ctx)
 	err := n.callers.Shutdown(ctx)
 	if err != nil {
-		n.log.Error("requests were cut at the stop's deadline", zap.Error(err), zap.Int("in_flight", n.inFlight()))
+		n.log.Error("requests cut off at the stop deadline", zap.Error(err), zap.Int("in_flight", n.inFlight()))
 		_ = n.callers.Close()
 	}
 	for _, g := range n.groups {
 		g.handOver(ctx)
 	}
 	_ = n.admin.Close()
-	n.end()
-	n.running.Wait()
+	n.cancel()
+	n.loops.Wait()
 	_ = n.peers.Close()
 	n.log.Info("stopped")
 	return errors.Wrap(err, "stop")
 }
 
 const (
-	lingerTime   = 300 * time.Millisecond
-	lingerPeriod = 5 * time.Millisecond
+	idleTime       = 300 * time.Millisecond
+	idlePollPeriod = 5 * time.Millisecond
 )
 
-// linger waits until no request has been worked on for a while. The server's own
-// shutdown drops a request that it reads after it began, so it must not begin while
-// a connection that was just accepted may still bring one.
-func (n *Node) linger(ctx context.Context) {
-	quietUntil := time.Now().Add(lingerTime)
-	for time.Now().Before(quietUntil) && sleep(ctx, lingerPeriod) {
-		if n.working.Load() > 0 {
-			quietUntil = time.Now().Add(lingerTime)
+// awaitIdle waits until no request has been active for idleTime. http.Server.Shutdown
+// drops requests that it reads after it began, so it must not begin while a newly
+// accepted connection may still send one.
+func (n *Node) awaitIdle(ctx context.Context) {
+	idleUntil := time.Now().Add(idleTime)
+	for time.Now().Before(idleUntil) && sleep(ctx, idlePollPeriod) {
+		if n.activeRequests.Load() > 0 {
+			idleUntil = time.Now().Add(idleTime)
 		}
 	}
 }
@@ -78,9 +78,10 @@
 	return sum
 }
 
-// resign makes another node the coordinator while this one can still tell it
-// everything. Without the store nobody can be named, and the others will notice.
-func (g *Group) resign(ctx context.Context) {
+// transferLeadership makes another node the coordinator while this one can still
+// pass its grants on. If the store is unavailable, no successor can be assigned, and
+// the other nodes campaign later.
+func (g *Group) transferLeadership(ctx context.Context) {
 	g.mu.Lock()
 	leading, epoch := g.leading(), g.leader.Epoch
 	g.mu.Unlock()
@@ -91,26 +92,27 @@
 		if m.Leaving {
 			continue
 		}
-		next, ok := g.candidate(ctx, m, epoch+1)
+		next, ok := g.queryCandidate(ctx, m, epoch+1)
 		if !ok {
 			continue
 		}
 		entry, current, err := g.readAssignment(ctx)
 		next.ChangedAt = current.ChangedAt
 		if err != nil || current.Epoch != epoch || !g.swapAssignment(ctx, entry, next) {
-			g.log.Warn("could not hand over the coordination")
+			g.log.Warn("could not transfer the coordinator role")
 			return
 		}
 		g.mu.Lock()
-		g.spread(&peer.Push{Leader: &next})
-		g.before, g.leader, g.heard = g.leader.Node, next, time.Now()
+		g.broadcast(&peer.Push{Leader: &next})
+		g.previousLeader, g.leader, g.lastContact = g.leader.Node, next, time.Now()
 		g.mu.Unlock()
 		return
 	}
 }
 
-// candidate asks a node for its incarnation, which shows that it is alive too.
-func (g *Group) candidate(ctx context.Context, m peer.Member, epoch uint64) (peer.Leader, bool) {
+// queryCandidate asks a node for its incarnation, which also shows that it is alive.
+// It returns false for a node that does not answer or is stopping.
+func (g *Group) queryCandidate(ctx context.Context, m peer.Member, epoch uint64) (peer.Leader, bool) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	reply, err := g.node.call(ctx, m.Address, &peer.Request{Template: g.template, Status: &peer.Status{}})
@@ -120,18 +122,18 @@
 	return peer.Leader{Node: m.Node, Incarnation: reply.Status.Incarnation, Address: m.Address, Epoch: epoch}, true
 }
 
-// handOver gives what is remembered of keyed operations to another node, and
-// tells the coordinator who has it.
+// handOver sends the operation table to another node, and notifies the coordinator
+// which node has it.
 func (g *Group) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	g.mu.Lock()
-	entries, coordinator, address := g.ledger.Entries(g.holder(0)), g.leader.Node, g.leaderAddress()
-	held := append(g.ledger.Witnessed(), g.claims.Held()...)
+	entries, coordinator, address := g.operations.Entries(g.holder(0)), g.leader.Node, g.leaderAddress()
+	held := append(g.operations.Witnessed(), g.claims.Held()...)
 	all := append(core.Holdings(entries), held...)
 	g.mu.Unlock()
-	for _, m := range heirsFirst(g.others(), coordinator) {
-		next, ok := g.candidate(ctx, m, 0)
+	for _, m := range coordinatorLast(g.others(), coordinator) {
+		next, ok := g.queryCandidate(ctx, m, 0)
 		if !ok {
 			continue
 		}
@@ -141,16 +143,16 @@
 		}
 		to := core.Holder{Node: next.Node, Incarnation: next.Incarnation}
 		reply, err = g.node.call(ctx, address, &peer.Request{Template: g.template, Handover: &peer.Handover{To: to, Held: all}})
-		told := err == nil && reply.Done
-		g.log.Info("operations handed over", zap.Int("operations", len(entries)), zap.String("to", m.Node), zap.Bool("coordinator_told", told))
+		notified := err == nil && reply.Done
+		g.log.Info("operations handed over", zap.Int("operations", len(entries)), zap.String("to", m.Node), zap.Bool("coordinator_told", notified))
 		return
 	}
-	g.log.Warn("nobody took over the memory of operations; their repeats will get 'outcome unknown'", zap.Int("operations", len(entries)))
+	g.log.Warn("no node took over the operation table; retries of its operations will get 'outcome unknown'", zap.Int("operations", len(entries)))
 }
 
-// heirsFirst puts the coordinator last: it has a memory of each operation already,
-// and the other one should be somewhere else.
-func heirsFirst(nodes []peer.Member, coordinator string) []peer.Member {
+// coordinatorLast moves the coordinator to the end: it already has a record of each
+// operation, and the second record should be on another node.
+func coordinatorLast(nodes []peer.Member, coordinator string) []peer.Member {
 	slices.SortStableFunc(nodes, func(a, b peer.Member) int {
 		switch {
 		case a.Node == coordinator && b.Node != coordinator:
--- a/node/takeover.go
+++ b/node/takeover.go
@@ -10,118 +10,122 @@
 	"eiderfold/peer"
 )
 
-// deposed is what this node last coordinated, and whether it then knew of every
-// grant. Its successor asks for that.
-type deposed struct {
+// pastTerm describes this node's last term as coordinator: its epoch, and whether the
+// node had a record of every grant when it ended. The successor collects it.
+type pastTerm struct {
 	epoch    uint64
 	complete bool
 }
 
-// takeOver starts this node's time as coordinator. Call it with mu held.
+// takeOver starts this node's term as coordinator. Call it with mu held.
 //
-// Nothing is granted or ejected before every other node has promised to heed no
-// earlier epoch. That is what makes a paused or cut-off predecessor harmless,
-// whatever it still believes of itself.
+// It grants and ejects nothing before every other node has promised to ignore earlier
+// epochs. A predecessor that was paused or cut off is therefore harmless, even if it
+// still acts as coordinator.
 func (g *Group) takeOver() {
 	epoch := g.leader.Epoch
-	ctx, cancel := context.WithCancel(g.node.life)
+	ctx, cancel := context.WithCancel(g.node.lifetime)
 	now := time.Now()
 	g.lead = &leadership{
-		epoch:     epoch,
-		began:     now,
-		sets:      map[string][]core.Standing{},
-		heard:     map[string]time.Time{},
-		runs:      map[string]uint64{},
-		stopping:  map[string]bool{},
-		confirmed: now,
-		cancel:    cancel,
+		epoch:         epoch,
+		startedAt:     now,
+		sets:          map[string][]core.Standing{},
+		lastHeartbeat: map[string]time.Time{},
+		incarnations:  map[string]uint64{},
+		stopping:      map[string]bool{},
+		confirmedAt:   now,
+		cancel:        cancel,
 	}
 	g.view.Promise(epoch)
-	g.ledger.Update(core.Promise{Epoch: epoch})
+	g.operations.Update(core.Promise{Epoch: epoch})
 	var from []string
 	for _, m := range g.roster.Nodes {
 		if m.Node != g.node.identity.Node {
 			from = append(from, m.Node)
 		}
 	}
-	second := len(from) > 0 && g.ledger.Len()+len(g.ledger.Witnessed()) > 0
-	if second {
-		from = append(from, secondMemory)
+	replicate := len(from) > 0 && g.operations.Len()+len(g.operations.Witnessed()) > 0
+	if replicate {
+		from = append(from, ownGrantsReplica)
 	}
-	lost := g.lost
-	if at := g.crashed; !at.IsZero() && at.Add(g.window).After(lost) {
-		lost = at.Add(g.window)
+	uncertainUntil := g.uncertainUntil
+	if at := g.lastCrash; !at.IsZero() && at.Add(g.window).After(uncertainUntil) {
+		uncertainUntil = at.Add(g.window)
 	}
 	if epoch > 1 && len(from) == 0 {
-		lost = now.Add(g.window) // Nobody else was there to remember.
+		uncertainUntil = now.Add(g.window) // No other node could have a record of grants.
 	}
-	g.claims.Update(core.TakeOver{At: now, Epoch: epoch, From: from, Lost: lost})
-	own := g.ledger.Held(g.holder(0))
-	for _, from := range g.ledger.Adopted() {
+	g.claims.Update(core.TakeOver{At: now, Epoch: epoch, From: from, Lost: uncertainUntil})
+	own := g.operations.Held(g.holder(0))
+	for _, from := range g.operations.Adopted() {
 		g.claims.Update(core.Moved{From: from, To: g.holder(0)})
 	}
 	g.claims.Update(core.Collected{At: now, Node: g.node.identity.Node, Held: own})
-	if second {
-		go g.secondOwn(ctx, epoch, own)
+	if replicate {
+		go g.replicateOwn(ctx, epoch, own)
 	}
 	g.roster.Epoch = epoch
 	g.roster.Version++
 	for _, n := range from {
-		if n != secondMemory {
+		if n != ownGrantsReplica {
 			go g.collect(ctx, epoch, n)
 		}
 	}
 }
 
-// secondMemory stands among the nodes that are waited for until what this node
-// holds is with another node too: as coordinator it would have both memories of it.
-const secondMemory = "second memory"
+// ownGrantsReplica is a placeholder among the nodes to collect from. The new
+// coordinator removes it when another node has recorded the operations that this node
+// holds. Until then both records of them, the holder's and the coordinator's, would be
+// on this node.
+const ownGrantsReplica = "second memory"
 
-func (g *Group) secondOwn(ctx context.Context, epoch uint64, own []core.Held) {
+// replicateOwn retries until another node has recorded this node's own operations.
+func (g *Group) replicateOwn(ctx context.Context, epoch uint64, own []core.Held) {
 	for ctx.Err() == nil {
-		if others := g.others(); len(others) == 0 || g.second(ctx, others, own, epoch) {
+		if others := g.others(); len(others) == 0 || g.replicate(ctx, others, own, epoch) {
 			g.mu.Lock()
 			if g.leading() && g.lead.epoch == epoch {
-				g.claims.Update(core.Collected{At: time.Now(), Node: secondMemory})
+				g.claims.Update(core.Collected{At: time.Now(), Node: ownGrantsReplica})
 			}
 			g.mu.Unlock()
 			return
 		}
-		sleep(ctx, collectPause)
+		sleep(ctx, collectRetryDelay)
 	}
 }
 
-// collect asks a node for its promise and its memory until it answers or the
-// platform no longer lists it.
+// collect asks a node for its promise and the grants it has recorded, until it answers
+// or the platform no longer lists it.
 func (g *Group) collect(ctx context.Context, epoch uint64, node string) {
 	for {
 		g.mu.Lock()
-		address, previous := g.addressOf(node), node == g.before
+		address, previous := g.addressOf(node), node == g.previousLeader
 		done := !g.leading() || g.lead.epoch != epoch
 		if address == "" && !done {
-			g.giveUpOn(node, previous)
+			g.handleRemovedNode(node, previous)
 			done = true
 		}
 		g.mu.Unlock()
 		if done || ctx.Err() != nil {
 			return
 		}
-		call, cancel := context.WithTimeout(ctx, collectTimeout)
-		reply, err := g.node.call(call, address, &peer.Request{Template: g.template, Collect: &peer.Collect{Epoch: epoch}})
+		callCtx, cancel := context.WithTimeout(ctx, collectTimeout)
+		reply, err := g.node.call(callCtx, address, &peer.Request{Template: g.template, Collect: &peer.Collect{Epoch: epoch}})
 		cancel()
 		if err == nil && reply.Collect != nil {
-			g.collected(epoch, node, reply.Collect)
+			g.handleCollected(epoch, node, reply.Collect)
 			return
 		}
-		if !sleep(ctx, collectPause) {
+		if !sleep(ctx, collectRetryDelay) {
 			return
 		}
 	}
 }
 
-// giveUpOn handles a node that is gone. What the last coordinator knew is known
-// to the holders too; what another node held, only the last coordinator knew.
-func (g *Group) giveUpOn(node string, previous bool) {
+// handleRemovedNode handles a node that the platform no longer lists. If it was the
+// previous coordinator, nothing is lost: the holders have records of its grants too.
+// Of what another node held, only the previous coordinator had a second record.
+func (g *Group) handleRemovedNode(node string, previous bool) {
 	now := time.Now()
 	if previous {
 		g.claims.Update(core.Collected{At: now, Node: node})
@@ -130,31 +134,32 @@
 	g.claims.Update(core.NodeGone{At: now, Node: node})
 }
 
-func (g *Group) collected(epoch uint64, node string, c *peer.Collected) {
+// handleCollected applies a node's answer to a Collect request.
+func (g *Group) handleCollected(epoch uint64, node string, c *peer.Collected) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.leading() || g.lead.epoch != epoch {
 		return
 	}
 	if !c.Promised {
-		g.log.Warn("a node knows of a later coordinator", zap.String("node", node))
+		g.log.Warn("a node has promised a later epoch", zap.String("node", node))
 		g.stepDown()
 		return
 	}
 	now := time.Now()
-	lost := time.Time{}
+	uncertainUntil := time.Time{}
 	if c.CrashedAgo > 0 {
-		lost = now.Add(g.window - time.Duration(c.CrashedAgo))
+		uncertainUntil = now.Add(g.window - time.Duration(c.CrashedAgo))
 	}
 	started := now.Add(-time.Duration(c.Age))
-	if epoch > 1 && c.Previous != epoch-1 && node != g.before && started.After(g.lead.began.Add(-unnoticed)) {
-		// It began under the last coordinator, and may have replaced another
-		// process without that coordinator's noticing.
-		lost = now.Add(g.window)
+	if epoch > 1 && c.Previous != epoch-1 && node != g.previousLeader && started.After(g.lead.startedAt.Add(-restartReportDelay)) {
+		// The process started under the previous coordinator and may have replaced
+		// another process without that coordinator having reported it.
+		uncertainUntil = now.Add(g.window)
 	}
 	for _, from := range c.Adopted {
 		g.claims.Update(core.Moved{From: from, To: c.By})
 	}
-	g.claims.Update(core.Collected{At: now, Node: node, Held: c.Held, Lost: lost, Complete: c.Complete})
-	g.lead.confirmed = now
+	g.claims.Update(core.Collected{At: now, Node: node, Held: c.Held, Lost: uncertainUntil, Complete: c.Complete})
+	g.lead.confirmedAt = now
 }
--- a/node/watch.go
+++ b/node/watch.go
@@ -16,44 +16,45 @@
 )
 
 const (
-	watchWait     = 5 * time.Minute
-	watchPause    = 500 * time.Millisecond // While another node watches.
-	firstRetry    = 500 * time.Millisecond
-	lastRetry     = 15 * time.Second
-	servicePeriod = 250 * time.Millisecond // Between looks for new services.
-	leastWatchGap = 100 * time.Millisecond // A store that answers watches at once must not be called in a loop.
+	watchTimeout       = 5 * time.Minute
+	inactiveWatchPause = 500 * time.Millisecond // Between checks while another node watches.
+	minRetryDelay      = 500 * time.Millisecond
+	maxRetryDelay      = 15 * time.Second
+	servicePeriod      = 250 * time.Millisecond // Between checks for new services.
+	minWatchGap        = 100 * time.Millisecond // Prevents a busy loop if the store answers watches at once.
 )
 
-// watching reports whether this node is to watch the platform: the coordinator
-// does, and whoever does not hear it. That two watch at a time is harmless.
-func (g *Group) watching() bool {
+// shouldWatch reports whether this node must watch the platform: the coordinator does,
+// and so does a node without contact with it. Several nodes may watch at a time.
+func (g *Group) shouldWatch() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.leading() || g.leader.Epoch == 0 || time.Since(g.heard) > takeoverAfter
+	return g.leading() || g.leader.Epoch == 0 || time.Since(g.lastContact) > electionTimeout
 }
 
-// watch calls look over and over while this node is to watch, with growing
-// pauses after failures. look gets the index it returned last.
-func (g *Group) watch(ctx context.Context, look func(ctx context.Context, index uint64) (uint64, error)) {
-	index, retry := uint64(0), firstRetry
+// watch calls query repeatedly while this node must watch, with increasing delays
+// after failures. query receives the index that it returned last, or 0 at first and
+// after a failure.
+func (g *Group) watch(ctx context.Context, query func(ctx context.Context, index uint64) (uint64, error)) {
+	index, retry := uint64(0), minRetryDelay
 	for ctx.Err() == nil {
-		if index != 0 && !g.watching() {
-			sleep(ctx, watchPause+rand.N(watchPause))
+		if index != 0 && !g.shouldWatch() {
+			sleep(ctx, inactiveWatchPause+rand.N(inactiveWatchPause))
 			continue
 		}
-		call, cancel := context.WithTimeout(ctx, watchWait+rand.N(watchWait/10))
-		next, err := look(call, index)
+		callCtx, cancel := context.WithTimeout(ctx, watchTimeout+rand.N(watchTimeout/10))
+		next, err := query(callCtx, index)
 		cancel()
 		if err != nil {
 			g.node.platform.Add("failed", 1)
 			sleep(ctx, retry/2+rand.N(retry))
-			retry = min(retry*2, lastRetry)
-			index = 0 // The store may have been restored; ask for everything.
+			retry = min(retry*2, maxRetryDelay)
+			index = 0 // The store may have been restored; read everything.
 			continue
 		}
 		g.node.platform.Add("answered", 1)
-		index, retry = next, firstRetry
-		sleep(ctx, leastWatchGap)
+		index, retry = next, minRetryDelay
+		sleep(ctx, minWatchGap)
 	}
 }
 
@@ -65,45 +66,45 @@
 			return 0, err
 		}
 		g.synced.Store(true)
-		g.takeEntries(entries)
+		g.applyEntries(entries)
 		g.complete.Store(true)
 		return next, nil
 	})
 }
 
-func (g *Group) takeEntries(entries []port.Entry) {
-	news := map[string][]byte{}
+func (g *Group) applyEntries(entries []port.Entry) {
+	changed := map[string][]byte{}
 	for _, e := range entries {
-		if e.Key == assignment(g.template) {
-			g.takeAssignment(e.Value)
+		if e.Key == assignmentKey(g.template) {
+			g.applyAssignment(e.Value)
 			continue
 		}
 		if g.node.apply(e.Key, e.Value) {
-			news[e.Key] = e.Value
+			changed[e.Key] = e.Value
 		}
 	}
-	if len(news) == 0 {
+	if len(changed) == 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.leading() {
-		g.spread(&peer.Push{Shards: news})
+		g.broadcast(&peer.Push{Shards: changed})
 	}
 }
 
-func (g *Group) takeAssignment(text []byte) {
+func (g *Group) applyAssignment(text []byte) {
 	var l peer.Leader
 	if err := json.Unmarshal(text, &l); err != nil {
-		g.log.Warn("assignment cannot be read", zap.Error(err))
+		g.log.Warn("cannot decode assignment", zap.Error(err))
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.follow(l)
+	g.adoptLeader(l)
 }
 
-// runNodeWatch follows which nodes the platform lists for the template.
+// runNodeWatch follows the platform's list of the template's nodes.
 func (g *Group) runNodeWatch(ctx context.Context) {
 	g.watch(ctx, func(ctx context.Context, index uint64) (uint64, error) {
 		found, next, err := g.node.list.Instances(ctx, NodeList(g.template), index)
@@ -114,16 +115,16 @@
 		for _, i := range found {
 			nodes = append(nodes, peer.Member{Node: i.Name, Address: i.Address, Leaving: i.State == port.Leaving})
 		}
-		g.changeRoster(func(r *peer.Roster) { r.Nodes = nodes })
+		g.updateRoster(func(r *peer.Roster) { r.Nodes = nodes })
 		return next, nil
 	})
 }
 
-// NodeList returns the name of a template's nodes in the platform's list.
+// NodeList returns the name under which the platform lists a template's nodes.
 func NodeList(template string) string { return "eiderfold-" + template }
 
-// runUpstreamWatch follows the upstreams of every service. Services come and go
-// with the template, so each has a watch that ends with it.
+// runUpstreamWatch follows the upstreams of every service. Each service has its own
+// watch, which ends when the template no longer contains the service.
 func (g *Group) runUpstreamWatch(ctx context.Context) {
 	running := map[string]context.CancelFunc{}
 	for sleep(ctx, servicePeriod) {
@@ -136,9 +137,9 @@
 			key := s.Name() + "\n" + s.List()
 			present[key] = true
 			if running[key] == nil {
-				watch, cancel := context.WithCancel(ctx)
+				watchCtx, cancel := context.WithCancel(ctx)
 				running[key] = cancel
-				go g.watchUpstreams(watch, s.Name(), s.List())
+				go g.watchUpstreams(watchCtx, s.Name(), s.List())
 			}
 		}
 		for key, cancel := range running {
@@ -163,7 +164,7 @@
 				Generation: i.Generation, Leaving: i.State == port.Leaving,
 			})
 		}
-		g.changeRoster(func(r *peer.Roster) {
+		g.updateRoster(func(r *peer.Roster) {
 			next := map[string][]peer.Upstream{}
 			for name, u := range r.Upstreams {
 				next[name] = u
@@ -175,22 +176,22 @@
 	})
 }
 
-// changeRoster changes this node's roster. The coordinator's becomes everybody's;
-// another node's own only counts until it hears a coordinator's.
-func (g *Group) changeRoster(change func(*peer.Roster)) {
+// updateRoster changes this node's roster. The coordinator broadcasts its roster; on
+// another node the change only lasts until it receives a coordinator's roster.
+func (g *Group) updateRoster(change func(*peer.Roster)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	change(&g.roster)
 	slices.SortFunc(g.roster.Nodes, func(a, b peer.Member) int { return strings.Compare(a.Node, b.Node) })
 	for name, s := range g.services {
-		g.populate(name, s)
+		g.syncUpstreams(name, s)
 	}
 	if g.leading() {
 		g.roster.Version++
 		g.roster.Epoch = g.lead.epoch
 		roster := g.roster
-		g.spread(&peer.Push{Roster: &roster})
+		g.broadcast(&peer.Push{Roster: &roster})
 		return
 	}
-	g.roster.Version = 0 // Not the coordinator's: the next one heard replaces it.
+	g.roster.Version = 0 // Any roster from a coordinator replaces this one.
 }
