--- a/peer/message.go
+++ b/peer/message.go
@@ -1,13 +1,14 @@
-// Package peer carries messages between nodes: CBOR over one QUIC connection a
-// pair of nodes, one stream a call, with certificates on both ends.
+// Package peer carries messages between nodes, encoded as CBOR over QUIC with mutual
+// TLS. A node uses one connection for all its requests to a peer, and one stream per
+// request.
 //
 // # Usage
 //
 //	t, err := peer.Listen("10.0.0.1:7400", material, handler)
 //	reply, err := t.Call(ctx, "10.0.0.2:7400", &peer.Request{Heartbeat: &peer.Heartbeat{...}})
 //
-// The messages are the whole protocol: a heartbeat with its reply carries
-// evidence one way, and decisions, configuration and membership the other.
+// A heartbeat carries evidence to the coordinator; its reply carries decisions,
+// configuration and membership back. See Request for the other messages.
 package peer
 
 import (
@@ -17,10 +18,11 @@
 	"eiderfold/core"
 )
 
-// MaxMessage bounds one message, in bytes: a full set of shards at a start.
+// MaxMessage is the maximum size of a message in bytes. The largest one is a full set
+// of shards for a starting node.
 const MaxMessage = 32 << 20
 
-// Request is one of the calls between nodes; exactly one field is set.
+// Request is a request to another node. Exactly one of the pointer fields is set.
 type Request struct {
 	From      Identity   `cbor:"1,keyasint"`
 	Template  string     `cbor:"2,keyasint"`
@@ -34,14 +36,15 @@
 	Status    *Status    `cbor:"10,keyasint,omitempty"`
 }
 
-// Identity says who speaks. A restarted process has a greater incarnation.
+// Identity identifies the process that sends a request. A restarted process has a
+// greater incarnation.
 type Identity struct {
 	Node        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Stopping    bool   `cbor:"4,keyasint,omitempty"`
 }
 
-// Reply answers a Request; the field that matches is set, or Error.
+// Reply answers a Request. Either the field that matches the request is set, or Error.
 type Reply struct {
 	Error     string          `cbor:"1,keyasint,omitempty"`
 	Heartbeat *HeartbeatReply `cbor:"2,keyasint,omitempty"`
@@ -52,21 +55,21 @@
 	Done      bool            `cbor:"7,keyasint,omitempty"`
 }
 
-// Heartbeat goes from every node of a template to its coordinator. Upstreams are
-// named by their place in the roster, whose version it tells: names would be most
-// of the message.
+// Heartbeat is sent regularly by every node of a template to its coordinator. It
+// refers to upstreams by their index in the roster with version Roster, since names
+// would be most of the message.
 type Heartbeat struct {
 	Beside    string             `cbor:"1,keyasint,omitempty"`
 	Evidence  map[string][]Tally `cbor:"2,keyasint,omitempty"` // By service.
 	Load      map[string][]Load  `cbor:"3,keyasint,omitempty"` // Requests in flight, by service.
-	Sequences map[string]uint64  `cbor:"4,keyasint,omitempty"` // Left out while Digest is the coordinator's.
+	Sequences map[string]uint64  `cbor:"4,keyasint,omitempty"` // Omitted unless the receiver asked for them with WantFull.
 	Digest    uint64             `cbor:"5,keyasint,omitempty"` // Of the sequences in force.
 	Roster    uint64             `cbor:"6,keyasint,omitempty"` // Version of the roster held.
-	Refused   []string           `cbor:"7,keyasint,omitempty"` // Upstreams that said they are leaving.
+	Refused   []string           `cbor:"7,keyasint,omitempty"` // Upstreams that announced that they are leaving.
 	Epoch     uint64             `cbor:"8,keyasint,omitempty"` // Newest epoch promised.
 }
 
-// Tally is what a node saw of the upstream at a place of the roster.
+// Tally counts the answers of the upstream at index Place of the roster.
 type Tally struct {
 	_      struct{} `cbor:",toarray"`
 	Place  uint32
@@ -75,30 +78,30 @@
 	Failed uint32
 }
 
-// Load is how many requests the upstream at a place of the roster works on.
+// Load is the number of in-flight requests of the upstream at index Place of the roster.
 type Load struct {
 	_     struct{} `cbor:",toarray"`
 	Place uint32
 	Count uint32
 }
 
-// HeartbeatReply is the coordinator's word, good for a lease from when the
-// heartbeat was sent. From a node that is no coordinator only the configuration
-// and the roster count.
+// HeartbeatReply answers a Heartbeat. The coordinator's decisions in it are valid for
+// a lease that starts when the heartbeat was sent. A node that is not the coordinator
+// sends no decisions or loads, but configuration, its roster and the current Leader.
 type HeartbeatReply struct {
 	Coordinator bool              `cbor:"1,keyasint,omitempty"`
 	Stamped     *core.Stamped     `cbor:"2,keyasint,omitempty"`
 	Shards      map[string][]byte `cbor:"3,keyasint,omitempty"`
 	Roster      *Roster           `cbor:"4,keyasint,omitempty"`
-	Load        map[string][]Load `cbor:"5,keyasint,omitempty"`  // Sum over all nodes.
+	Load        map[string][]Load `cbor:"5,keyasint,omitempty"`  // In-flight requests of all nodes, by service.
 	WantFull    bool              `cbor:"6,keyasint,omitempty"`  // The digests differ: send the sequences.
-	CrashedAgo  int64             `cbor:"7,keyasint,omitempty"`  // Nanoseconds since a node was last lost unplanned, 0 for never.
-	Leader      *Leader           `cbor:"8,keyasint,omitempty"`  // Whom a node that is none takes for coordinator.
-	HeardLeader bool              `cbor:"9,keyasint,omitempty"`  // It heard that one a moment ago.
-	Sequences   map[string]uint64 `cbor:"10,keyasint,omitempty"` // Of a node that lacks what the other one has.
+	CrashedAgo  int64             `cbor:"7,keyasint,omitempty"`  // Nanoseconds since a node was last lost without a planned stop; 0 for never.
+	Leader      *Leader           `cbor:"8,keyasint,omitempty"`  // Not from the coordinator: the sender's latest known assignment.
+	HeardLeader bool              `cbor:"9,keyasint,omitempty"`  // The sender had recent contact with Leader.
+	Sequences   map[string]uint64 `cbor:"10,keyasint,omitempty"` // Set if the sender of the heartbeat has newer shards, which it then pushes.
 }
 
-// Leader is the coordinator of a template, as the store's assignment names it.
+// Leader is the assignment in the store, which names the coordinator of a template.
 type Leader struct {
 	Node        string `cbor:"1,keyasint" json:"node"`
 	Incarnation uint64 `cbor:"2,keyasint" json:"incarnation"`
@@ -109,7 +112,8 @@
 	ChangedAt int64 `cbor:"5,keyasint,omitempty" json:"changed_at,omitempty"`
 }
 
-// Roster is who is there: the platform's list, refined by what nodes heard.
+// Roster lists the nodes and upstreams of a template: the platform's list, with the
+// upstreams marked that announced to a node that they are leaving.
 type Roster struct {
 	Version   uint64                `cbor:"1,keyasint"`
 	Epoch     uint64                `cbor:"2,keyasint"`
@@ -117,14 +121,14 @@
 	Upstreams map[string][]Upstream `cbor:"4,keyasint,omitempty"` // By service.
 }
 
-// Member is a node of a template.
+// Member is a node of a template in the roster.
 type Member struct {
 	Node    string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
 	Leaving bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// Upstream is a row of the instance list.
+// Upstream is an upstream in the platform's instance list.
 type Upstream struct {
 	Name       string `cbor:"1,keyasint"`
 	Address    string `cbor:"2,keyasint"`
@@ -133,7 +137,8 @@
 	Leaving    bool   `cbor:"5,keyasint,omitempty"`
 }
 
-// Push brings news at once; the next heartbeat would bring it too.
+// Push sends changes at once, without waiting for the next heartbeat, which would
+// carry them too.
 type Push struct {
 	Stamped *core.Stamped     `cbor:"1,keyasint,omitempty"`
 	Shards  map[string][]byte `cbor:"2,keyasint,omitempty"`
@@ -141,77 +146,85 @@
 	Leader  *Leader           `cbor:"4,keyasint,omitempty"`
 }
 
-// Claim asks the coordinator for the right to start an operation.
+// Claim asks the coordinator for the right to start an operation. Instead names a
+// holder that is known never to start it.
 type Claim struct {
 	Key     core.Key    `cbor:"1,keyasint"`
 	Body    uint64      `cbor:"2,keyasint"`
 	Holder  core.Holder `cbor:"3,keyasint"`
 	Instead core.Holder `cbor:"4,keyasint"`
-	Born    int64       `cbor:"5,keyasint,omitempty"` // Unix milliseconds; 0 if the key does not tell.
+	Born    int64       `cbor:"5,keyasint,omitempty"` // When the key was created, in Unix milliseconds; 0 if unknown.
 }
 
-// Inquire asks a holder how far an operation is.
+// Inquire asks for the stage of an operation. It is sent to the node that has the
+// holder's operation table.
 type Inquire struct {
 	Key    core.Key    `cbor:"1,keyasint"`
 	Holder core.Holder `cbor:"2,keyasint"`
 }
 
-// Inquired is the holder's answer.
+// Inquired answers Inquire. Answer is set if the operation's answer is still recorded.
 type Inquired struct {
 	Stage  core.Stage     `cbor:"1,keyasint"`
 	Answer *core.Recorded `cbor:"2,keyasint,omitempty"`
 }
 
-// Collect asks a node to promise a new epoch and tell what it holds.
+// Collect asks a node to promise a new epoch, that is to ignore earlier ones, and to
+// send the grants that it has a record of.
 type Collect struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 }
 
-// Collected is a node's promise with what it holds.
+// Collected answers Collect. It is empty if the node has promised a later epoch.
 type Collected struct {
 	Promised bool        `cbor:"1,keyasint"`
 	Held     []core.Held `cbor:"2,keyasint,omitempty"`
-	Nodes    []Member    `cbor:"3,keyasint,omitempty"` // Whom the node knew of.
+	Nodes    []Member    `cbor:"3,keyasint,omitempty"` // The nodes in its roster.
 
-	// Adopted lists the processes whose memory the node has, and By is the node.
+	// Adopted lists the processes whose operation tables the node has taken over. By
+	// identifies the node itself.
 	Adopted    []core.Holder `cbor:"8,keyasint,omitempty"`
 	By         core.Holder   `cbor:"9,keyasint,omitempty"`
-	CrashedAgo int64         `cbor:"4,keyasint,omitempty"`
+	CrashedAgo int64         `cbor:"4,keyasint,omitempty"` // As in HeartbeatReply.
 	Age        int64         `cbor:"5,keyasint,omitempty"` // Nanoseconds since the process started.
-	Previous   uint64        `cbor:"7,keyasint,omitempty"` // Epoch of the last promise before, by this process.
-	Complete   bool          `cbor:"6,keyasint,omitempty"` // The node is the last coordinator, and this is all.
+	Previous   uint64        `cbor:"7,keyasint,omitempty"` // Epoch that this process promised to the previous Collect.
+	Complete   bool          `cbor:"6,keyasint,omitempty"` // The node was the previous coordinator, and Held has all its grants.
 }
 
-// Witness asks a node to remember grants that would otherwise be in one memory:
-// the coordinator's to itself, and what a new coordinator holds.
+// Witness asks a node to record grants of which otherwise only the coordinator would
+// have a record: its grants to itself, and the operations that it held when it took
+// over.
 type Witness struct {
 	Held  []core.Held `cbor:"1,keyasint"`
 	Epoch uint64      `cbor:"2,keyasint"`
 }
 
-// Handover gives the memory of a stopping node to another one, which must not be
-// the coordinator if there is a third. The coordinator gets one too, with To set:
-// it says who has the memory, and that the node goes by plan.
+// Handover passes the operation table of a stopping node to another node, which is
+// the coordinator only if no third node accepts it. The coordinator then receives a
+// Handover with To set, which names the node that has the table and announces the
+// planned stop.
 type Handover struct {
 	Entries []core.Entry `cbor:"1,keyasint,omitempty"`
 	To      core.Holder  `cbor:"2,keyasint"`
-	Held    []core.Held  `cbor:"3,keyasint,omitempty"` // What it remembers for others; to the coordinator, all.
+	Held    []core.Held  `cbor:"3,keyasint,omitempty"` // Recorded grants to other nodes; for the coordinator, all grants.
 }
 
-// Status asks what is in force.
+// Status asks for the configuration sequences in force on a node.
 type Status struct{}
 
-// StatusReply says what is in force.
+// StatusReply holds the configuration sequences in force, by shard, and the state of
+// the process.
 type StatusReply struct {
 	Sequences   map[string]uint64 `cbor:"1,keyasint"`
 	Incarnation uint64            `cbor:"2,keyasint"`
 	Stopping    bool              `cbor:"3,keyasint,omitempty"`
 }
 
-// decoding refuses what no node of ours would send, before memory is given to it.
-var decoding = mustDecoding()
+// decMode limits the size and nesting of messages, so that a malformed one is rejected
+// before memory is allocated for it.
+var decMode = newDecMode()
 
-func mustDecoding() cbor.DecMode {
+func newDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: 1 << 20,
 		MaxMapPairs:      1 << 20,
@@ -224,13 +237,13 @@
 	return mode
 }
 
-// Encode returns a request or reply as bytes.
+// Encode returns the CBOR encoding of a request or reply.
 func Encode(message any) ([]byte, error) {
-	text, err := cbor.Marshal(message)
-	return text, errors.Wrap(err, "encode message")
+	data, err := cbor.Marshal(message)
+	return data, errors.Wrap(err, "encode message")
 }
 
-// Decode reads a request or reply.
-func Decode(text []byte, into any) error {
-	return errors.Wrap(decoding.Unmarshal(text, into), "decode message")
+// Decode decodes a request or reply into the value that into points to.
+func Decode(data []byte, into any) error {
+	return errors.Wrap(decMode.Unmarshal(data, into), "decode message")
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -42,43 +42,44 @@
 	assert.Equal(t, key[:], reply.Inquire.Answer.Body)
 }
 
-// TestStrangersAreRefused dials with a certificate of another authority, and is
-// dialled by one.
-func TestStrangersAreRefused(t *testing.T) {
-	ours, err := keys.NewAuthority("ours")
+// TestUntrustedPeersAreRefused guards against accepting a peer with a certificate of
+// another authority, whether it dials or is dialled.
+func TestUntrustedPeersAreRefused(t *testing.T) {
+	authority, err := keys.NewAuthority("ours")
 	require.NoError(t, err)
-	theirs, err := keys.NewAuthority("theirs")
+	otherAuthority, err := keys.NewAuthority("theirs")
 	require.NoError(t, err)
-	answered := func(context.Context, *Request) *Reply { return &Reply{Done: true} }
-	server := listen(t, material(t, ours, "server"), answered)
-	stranger := listen(t, material(t, theirs, "stranger"), answered)
+	handler := func(context.Context, *Request) *Reply { return &Reply{Done: true} }
+	server := listen(t, material(t, authority, "server"), handler)
+	untrusted := listen(t, material(t, otherAuthority, "stranger"), handler)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	_, err = stranger.Call(ctx, server.Address(), &Request{Status: &Status{}})
+	_, err = untrusted.Call(ctx, server.Address(), &Request{Status: &Status{}})
 	require.Error(t, err)
-	_, err = server.Call(ctx, stranger.Address(), &Request{Status: &Status{}})
+	_, err = server.Call(ctx, untrusted.Address(), &Request{Status: &Status{}})
 	require.Error(t, err)
 }
 
-// FuzzDecode looks for a message that makes the decoder panic or take much memory.
+// FuzzDecode guards against messages that make the decoder panic or allocate too much
+// memory, and against decoded messages that cannot be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, r := range []*Request{
 		{Heartbeat: &Heartbeat{Evidence: map[string][]Tally{"s": {{Place: 3, Failed: 1}}}}},
 		{Claim: &Claim{Key: core.Key{1}, Holder: core.Holder{Node: "n"}}},
 		{Handover: &Handover{Entries: []core.Entry{{Stage: core.Done, Answer: &core.Recorded{Status: 200}}}}},
 	} {
-		text, err := Encode(r)
+		data, err := Encode(r)
 		require.NoError(f, err)
-		f.Add(text)
+		f.Add(data)
 	}
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
-	f.Fuzz(func(t *testing.T, text []byte) {
+	f.Fuzz(func(t *testing.T, data []byte) {
 		r := &Request{}
-		if Decode(text, r) != nil {
+		if Decode(data, r) != nil {
 			return
 		}
-		again, err := Encode(r)
+		encoded, err := Encode(r)
 		require.NoError(t, err)
-		require.NoError(t, Decode(again, &Request{}))
+		require.NoError(t, Decode(encoded, &Request{}))
 	})
 }
--- a/peer/transport.go
+++ b/peer/transport.go
@@ -20,23 +20,23 @@
 	protocol         = "eiderfold/1"
 	handshakeTimeout = 2 * time.Second
 	idleTimeout      = 20 * time.Second
-	keepAlive        = 8 * time.Second
-	// Windows start small: most messages are a few hundred bytes, and a node has
-	// a connection to every other node of its template.
+	keepAlivePeriod  = 8 * time.Second
+	// Flow-control windows start small, in bytes: most messages have a few hundred
+	// bytes, and a node has a connection to every other node of its template.
 	streamWindow     = 32 << 10
 	connectionWindow = 64 << 10
 	maxStreamWindow  = 4 << 20
 	maxStreams       = 256
-	drain            = 5 * time.Second // For calls that still wait on a connection given up.
+	closeDelay       = 5 * time.Second // For calls that still use a replaced connection.
 	codeClosed       = 0
-	codeBad          = 1
+	codeMalformed    = 1
 )
 
-// Handler answers a request. It must not keep the request.
+// Handler answers a request. It must not retain the request.
 type Handler func(ctx context.Context, r *Request) *Reply
 
-// Transport is a node's end of all connections to peers. It is safe for several
-// goroutines.
+// Transport holds a node's connections to and from its peers. It is safe for
+// concurrent use.
 type Transport struct {
 	socket   *quic.Transport
 	listener *quic.Listener
@@ -50,20 +50,21 @@
 	cancel   context.CancelFunc
 }
 
-// link is a connection that is dialled once for all calls that wait for it.
+// link is a connection that is dialled once for all calls that wait for it. ready is
+// closed when connection or err is set.
 type link struct {
 	ready      chan struct{}
 	connection *quic.Conn
 	err        error
 }
 
-// Listen opens a UDP port by IP number and serves requests on it.
+// Listen opens a UDP port at an IP:port address and serves requests on it.
 func Listen(address string, material *keys.Material, handler Handler) (*Transport, error) {
-	where, err := netip.ParseAddrPort(address)
+	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, errors.Wrap(err, "peer address")
 	}
-	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(where))
+	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addrPort))
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for peers")
 	}
@@ -76,7 +77,7 @@
 		handler: handler,
 		dialled: map[string]*link{},
 	}
-	t.listener, err = t.socket.Listen(server, settings())
+	t.listener, err = t.socket.Listen(server, quicConfig())
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for peers")
 	}
@@ -86,11 +87,11 @@
 	return t, nil
 }
 
-func settings() *quic.Config {
+func quicConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:           handshakeTimeout,
 		MaxIdleTimeout:                 idleTimeout,
-		KeepAlivePeriod:                keepAlive,
+		KeepAlivePeriod:                keepAlivePeriod,
 		InitialStreamReceiveWindow:     streamWindow,
 		InitialConnectionReceiveWindow: connectionWindow,
 		MaxStreamReceiveWindow:         maxStreamWindow,
@@ -100,13 +101,14 @@
 	}
 }
 
-// Address returns the address that was opened, with the port the kernel chose.
+// Address returns the listening address, with the actual port if 0 was given.
 func (t *Transport) Address() string { return t.listener.Addr().String() }
 
-// Traffic returns the bytes of messages sent and received since the start.
+// Traffic returns the total size of the messages sent and received since the start,
+// in bytes.
 func (t *Transport) Traffic() (sent, received int64) { return t.sent.Load(), t.received.Load() }
 
-// Close ends all connections.
+// Close closes the UDP port and all connections.
 func (t *Transport) Close() error {
 	t.cancel()
 	err := t.listener.Close()
@@ -126,10 +128,10 @@
 	return errors.Wrap(err, "close")
 }
 
-// Call sends a request and waits for its reply. An error says nothing about
-// whether the peer took the request, except ErrNotSent, with which it did not.
+// Call sends a request and waits for its reply. After ErrNotSent the peer has not
+// received the request; after any other error it may have.
 func (t *Transport) Call(ctx context.Context, address string, r *Request) (*Reply, error) {
-	text, err := Encode(r)
+	data, err := Encode(r)
 	if err != nil {
 		return nil, err
 	}
@@ -139,18 +141,18 @@
 	}
 	stream, err := connection.OpenStreamSync(ctx)
 	if err != nil {
-		t.forget(address, connection)
+		t.drop(address, connection)
 		return nil, errors.Wrap(ErrNotSent, err.Error())
 	}
-	answer, err := t.exchange(ctx, stream, text)
+	replyData, err := t.exchange(ctx, stream, data)
 	if err != nil {
-		// The peer may have been replaced at the same address, which this
-		// connection would only find out when it has been idle for long.
-		t.forget(address, connection)
+		// Another process may have replaced the peer at the same address, which
+		// this connection would only detect after its idle timeout.
+		t.drop(address, connection)
 		return nil, err
 	}
 	reply := &Reply{}
-	if err := Decode(answer, reply); err != nil {
+	if err := Decode(replyData, reply); err != nil {
 		return nil, err
 	}
 	if reply.Error != "" {
@@ -159,28 +161,30 @@
 	return reply, nil
 }
 
-// ErrNotSent says that a request never left this node.
+// ErrNotSent is returned by Call when there was no connection or stream to send the
+// request on.
 var ErrNotSent = errors.New("not sent")
 
-func (t *Transport) exchange(ctx context.Context, stream *quic.Stream, text []byte) ([]byte, error) {
+// exchange writes a request to a stream and reads the reply.
+func (t *Transport) exchange(ctx context.Context, stream *quic.Stream, data []byte) ([]byte, error) {
 	stop := context.AfterFunc(ctx, func() {
 		stream.CancelRead(codeClosed)
 		stream.CancelWrite(codeClosed)
 	})
 	defer stop()
-	t.sent.Add(int64(len(text)))
-	if _, err := stream.Write(text); err != nil {
+	t.sent.Add(int64(len(data)))
+	if _, err := stream.Write(data); err != nil {
 		return nil, errors.Wrap(err, "send")
 	}
 	if err := stream.Close(); err != nil {
 		return nil, errors.Wrap(err, "send")
 	}
-	answer, err := io.ReadAll(io.LimitReader(stream, MaxMessage))
-	t.received.Add(int64(len(answer)))
-	return answer, errors.Wrap(err, "receive")
+	replyData, err := io.ReadAll(io.LimitReader(stream, MaxMessage))
+	t.received.Add(int64(len(replyData)))
+	return replyData, errors.Wrap(err, "receive")
 }
 
-// connect returns the connection to a peer and dials it if there is none.
+// connect returns the connection to a peer, which it dials if there is none.
 func (t *Transport) connect(ctx context.Context, address string) (*quic.Conn, error) {
 	t.mu.Lock()
 	l := t.dialled[address]
@@ -199,20 +203,21 @@
 		return nil, l.err
 	}
 	if l.connection.Context().Err() != nil {
-		t.forget(address, l.connection)
+		t.drop(address, l.connection)
 		return nil, errors.New("connection closed")
 	}
 	return l.connection, nil
 }
 
-// dial runs apart from any caller's deadline, since others may wait for it too.
+// dial opens the connection of l. It is independent of any caller's deadline, since
+// several calls may wait for it.
 func (t *Transport) dial(address string, l *link) {
 	defer close(l.ready)
-	where, err := netip.ParseAddrPort(address)
+	addrPort, err := netip.ParseAddrPort(address)
 	if err == nil {
 		ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 		defer cancel()
-		l.connection, err = t.socket.Dial(ctx, net.UDPAddrFromAddrPort(where), t.client, settings())
+		l.connection, err = t.socket.Dial(ctx, net.UDPAddrFromAddrPort(addrPort), t.client, quicConfig())
 	}
 	if err != nil {
 		l.err = err
@@ -224,12 +229,14 @@
 	}
 }
 
-func (t *Transport) forget(address string, connection *quic.Conn) {
+// drop removes a connection, so that the next call dials a new one, and closes it after
+// closeDelay.
+func (t *Transport) drop(address string, connection *quic.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if l := t.dialled[address]; l != nil && l.connection == connection {
 		delete(t.dialled, address)
-		time.AfterFunc(drain, func() { _ = connection.CloseWithError(codeClosed, "replaced") })
+		time.AfterFunc(closeDelay, func() { _ = connection.CloseWithError(codeClosed, "replaced") })
 	}
 }
 
@@ -249,28 +256,28 @@
 		if err != nil {
 			return
 		}
-		go t.answer(ctx, stream)
+		go t.serveStream(ctx, stream)
 	}
 }
 
-func (t *Transport) answer(ctx context.Context, stream *quic.Stream) {
-	text, err := io.ReadAll(io.LimitReader(stream, MaxMessage))
-	t.received.Add(int64(len(text)))
+func (t *Transport) serveStream(ctx context.Context, stream *quic.Stream) {
+	data, err := io.ReadAll(io.LimitReader(stream, MaxMessage))
+	t.received.Add(int64(len(data)))
 	request := &Request{}
 	if err == nil {
-		err = Decode(text, request)
+		err = Decode(data, request)
 	}
 	if err != nil {
-		stream.CancelWrite(codeBad)
+		stream.CancelWrite(codeMalformed)
 		return
 	}
-	answer, err := Encode(t.handler(ctx, request))
+	replyData, err := Encode(t.handler(ctx, request))
 	if err != nil {
-		stream.CancelWrite(codeBad)
+		stream.CancelWrite(codeMalformed)
 		return
 	}
-	t.sent.Add(int64(len(answer)))
-	if _, err := stream.Write(answer); err == nil {
-		_ = stream.Close() // The caller sees a missing end as an error of its own.
+	t.sent.Add(int64(len(replyData)))
+	if _, err := stream.Write(replyData); err == nil {
+		_ = stream.Close() // If this fails, the caller gets an error when it reads the stream.
 	}
 }
