--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -251,7 +251,7 @@
 	if l.Epoch <= g.leader.Epoch {
 		return
 	}
-	g.log.Info("coordinator changed", zap.String("node", l.Node), zap.Uint64("epoch", l.Epoch))
+	g.log.Info("coordinator", zap.String("node", l.Node), zap.Uint64("epoch", l.Epoch))
 	g.previousLeader, g.leader = g.leader.Node, l
 	g.lastContact = time.Now() // The new coordinator gets a full election delay.
 	self := l.Node == g.node.identity.Node && l.Incarnation == g.node.identity.Incarnation
--- a/node/leader.go
+++ b/node/leader.go
@@ -60,10 +60,10 @@
 		for _, s := range g.services {
 			s.detector.Update(core.Installed{At: now})
 		}
-		g.log.Info("ejection enabled", zap.Uint64("epoch", l.epoch))
+		g.log.Info("deciding", zap.Uint64("epoch", l.epoch))
 	}
 	if l.deciding && !confirmed {
-		g.suspend("not confirmed by another node")
+		g.suspend("no other node confirms")
 	}
 	if confirmed {
 		g.view.Told(g.stamped(), l.confirmedAt)
@@ -75,7 +75,7 @@
 // suspend stops the outlier detectors until another node has confirmed this
 // coordinator and earlier leases have expired.
 func (g *Group) suspend(reason string) {
-	g.log.Warn("ejection suspended", zap.String("reason", reason))
+	g.log.Warn("not deciding", zap.String("reason", reason))
 	g.lead.deciding = false
 	g.lead.promisedAt = time.Now() // Leases of earlier decisions must expire first.
 	g.lead.sets = map[string][]core.Standing{}
