--- a/config/account.go
+++ b/config/account.go
@@ -8,20 +8,19 @@
 	"github.com/pkg/errors"
 )
 
-// MaxAccountName bounds a client account's name, in bytes.
+// MaxAccountName is the maximum length of a name accepted by CheckName, in bytes.
 const MaxAccountName = 64
 
-// Account is a client account: a template with its parameters filled in. Most
-// accounts of a template set the same few values, so it keeps only what differs
-// from the defaults.
+// Account is a client account: an instance of a template with its parameter
+// values. It stores only the values that differ from the defaults, to save memory.
 type Account struct {
 	name   string
 	values []value
 }
 
-// value is one parameter that differs from its default.
+// value is the value of a parameter that differs from the default.
 type value struct {
-	parameter int
+	parameter int // Index into the template's parameters.
 	text      string
 	duration  time.Duration
 }
@@ -29,8 +28,8 @@
 // Name returns the account's name.
 func (a *Account) Name() string { return a.name }
 
-// Instantiate checks parameters against the template and returns the account.
-// All faults are in the one error.
+// Instantiate validates parameters against the template and returns the account.
+// The error lists every fault, one a line.
 func (t *Template) Instantiate(name string, parameters map[string]string) (*Account, error) {
 	var faults []string
 	if err := CheckName(name); err != nil {
@@ -49,7 +48,7 @@
 			faults = append(faults, "parameters."+p.name+": "+err.Error())
 			continue
 		}
-		if text != p.standard {
+		if text != p.defaultValue {
 			a.values = append(a.values, newValue(i, p, text))
 		}
 	}
@@ -68,14 +67,14 @@
 func newValue(index int, p Parameter, text string) value {
 	v := value{parameter: index, text: text}
 	if p.kind == Duration {
-		v.duration, _ = time.ParseDuration(text) // Checked before.
+		v.duration, _ = time.ParseDuration(text) // Validated by the callers.
 	}
 	return v
 }
 
-// Timeout returns how long the account's requests on a route may take in all.
+// Timeout returns the total time allowed for one of the account's requests on a route.
 func (a *Account) Timeout(r *Route) time.Duration {
-	if r.timeout.parameter == fixed {
+	if r.timeout.parameter == noParameter {
 		return r.timeout.duration
 	}
 	for i := range a.values {
@@ -93,9 +92,9 @@
 	}
 }
 
-func (a *Account) text(s setting) string {
+func (a *Account) text(s fieldValue) string {
 	for i := range a.values {
-		if s.parameter != fixed && a.values[i].parameter == s.parameter {
+		if s.parameter != noParameter && a.values[i].parameter == s.parameter {
 			return a.values[i].text
 		}
 	}
@@ -106,8 +105,8 @@
 	return slices.IndexFunc(t.parameters, func(p Parameter) bool { return p.name == name })
 }
 
-// CheckName tells what is wrong with the name of an account, template, service
-// or parameter. Names are parts of store keys and of URLs.
+// CheckName validates the name of an account, template, service or parameter.
+// Names are parts of store keys and of URLs.
 func CheckName(name string) error {
 	if name == "" {
 		return errors.New("is empty")
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = `template: t
+const validTemplate = `template: t
 parameters:
   - {name: wait, type: duration, default: 2s, min: 100ms, max: 10s}
   - {name: office, type: text, required: true}
@@ -27,7 +27,8 @@
       - {name: post, pattern: "POST /births", operation: at_most_once}
 `
 
-// TestRefusedTemplates reads data files: a template, and what is said of it.
+// TestRefusedTemplates parses the invalid templates in testdata/refused and
+// compares the faults with those listed in the same file.
 func TestRefusedTemplates(t *testing.T) {
 	files, err := filepath.Glob("testdata/refused/*.txt")
 	require.NoError(t, err)
@@ -46,7 +47,7 @@
 }
 
 func TestRoutes(t *testing.T) {
-	template, err := ParseTemplate("t.yaml", []byte(good))
+	template, err := ParseTemplate("t.yaml", []byte(validTemplate))
 	require.NoError(t, err)
 	for request, want := range map[string]string{
 		"GET /births/118":     "one",
@@ -70,7 +71,7 @@
 }
 
 func TestAccount(t *testing.T) {
-	template, err := ParseTemplate("t.yaml", []byte(good))
+	template, err := ParseTemplate("t.yaml", []byte(validTemplate))
 	require.NoError(t, err)
 	a, err := template.Instantiate("oficina-07", map[string]string{"office": "7", "wait": "800ms"})
 	require.NoError(t, err)
@@ -89,7 +90,7 @@
 	}
 }
 
-// encoded makes a template shard's value.
+// encoded returns the store value of a shard.
 func encoded(t *testing.T, s *Shard) []byte {
 	t.Helper()
 	value, err := s.Encode()
@@ -97,19 +98,19 @@
 	return value
 }
 
-func TestHolderNeverGoesBack(t *testing.T) {
+func TestHolderIgnoresOlderSequences(t *testing.T) {
 	h, shard := NewHolder(), &Shard{}
-	shard.PutTemplate(Change{PublishID: "a"}, good)
+	shard.PutTemplate(Change{PublishID: "a"}, validTemplate)
 	first := encoded(t, shard)
-	shard.PutTemplate(Change{PublishID: "b"}, strings.Replace(good, "floor: 2", "floor: 1", 1))
+	shard.PutTemplate(Change{PublishID: "b"}, strings.Replace(validTemplate, "floor: 2", "floor: 1", 1))
 	second := encoded(t, shard)
 	for _, step := range []struct {
-		value []byte
-		news  bool
+		value   []byte
+		changed bool
 	}{{first, true}, {second, true}, {first, false}, {second, false}} {
-		news, err := h.Apply(TemplateKey("t"), step.value)
+		changed, err := h.Apply(TemplateKey("t"), step.value)
 		require.NoError(t, err)
-		assert.Equal(t, step.news, news)
+		assert.Equal(t, step.changed, changed)
 	}
 	assert.Equal(t, 1, h.Now().Template("t").Service("s").Floor())
 	corrupted := []byte(strings.Replace(string(second), "floor: 1", "floor: 3", 1))
@@ -118,11 +119,11 @@
 	assert.Equal(t, uint64(2), h.Now().Sequences()[TemplateKey("t")])
 }
 
-// TestAccountsBeforeTheirTemplate lets the parts of a configuration come in any
-// order.
+// TestAccountsBeforeTheirTemplate applies an account shard before the shard of its
+// template: shards arrive in any order.
 func TestAccountsBeforeTheirTemplate(t *testing.T) {
 	h, template, accounts := NewHolder(), &Shard{}, &Shard{}
-	template.PutTemplate(Change{PublishID: "a"}, good)
+	template.PutTemplate(Change{PublishID: "a"}, validTemplate)
 	accounts.PutAccount(Change{PublishID: "b"}, "oficina-07", map[string]string{"office": "7"})
 	_, err := h.Apply(AccountKey("t", "oficina-07"), encoded(t, accounts))
 	require.NoError(t, err)
@@ -142,7 +143,7 @@
 
 func TestFindAllocatesNothing(t *testing.T) {
 	h, template, accounts := NewHolder(), &Shard{}, &Shard{}
-	template.PutTemplate(Change{PublishID: "a"}, good)
+	template.PutTemplate(Change{PublishID: "a"}, validTemplate)
 	accounts.PutAccount(Change{PublishID: "b"}, "oficina-07", map[string]string{"office": "7"})
 	for key, s := range map[string]*Shard{TemplateKey("t"): template, AccountKey("t", "oficina-07"): accounts} {
 		_, err := h.Apply(key, encoded(t, s))
@@ -154,7 +155,7 @@
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 100_000} {
 		h, template := NewHolder(), &Shard{}
-		template.PutTemplate(Change{PublishID: "a"}, good)
+		template.PutTemplate(Change{PublishID: "a"}, validTemplate)
 		shards := map[string]*Shard{TemplateKey("t"): template}
 		for i := range n {
 			name := fmt.Sprintf("account-%d", i)
@@ -170,7 +171,7 @@
 				_, err = h.Apply(key, value)
 			}
 			if err != nil {
-				b.Skip(err) // More than the store's values hold.
+				b.Skip(err) // Too many accounts for the size limit of a store value.
 			}
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -182,10 +183,10 @@
 	}
 }
 
-// FuzzParseTemplate looks for a template that makes the parser panic, or that is
-// taken and then cannot be taken again.
+// FuzzParseTemplate looks for a template that makes the parser panic, or that
+// parses once and whose Source doesn't parse again.
 func FuzzParseTemplate(f *testing.F) {
-	f.Add(good)
+	f.Add(validTemplate)
 	files, _ := filepath.Glob("testdata/refused/*.txt")
 	for _, file := range files {
 		text, _ := os.ReadFile(file)
--- a/config/holder.go
+++ b/config/holder.go
@@ -10,24 +10,25 @@
 	"github.com/pkg/errors"
 )
 
-// Snapshot is the configuration in force on a node. It never changes; a newer one
-// takes its place.
+// Snapshot is the configuration in force on a node. It is immutable; each change
+// creates a new one.
 type Snapshot struct {
-	templates []*held
+	templates []*templateAccounts
 	sequences map[string]uint64 // By shard key.
 }
 
-// held is a template with the accounts that instantiate it.
-type held struct {
+// templateAccounts is a template with the accounts that instantiate it.
+type templateAccounts struct {
 	template *Template
-	buckets  [buckets]map[string]*Account
+	buckets  [bucketCount]map[string]*Account
 }
 
-// Find returns the account and the route of a request. The route is nil if the
-// account exists and has no such route; both are nil if there is no account.
+// Find returns the template, the account and the route of a request. If the account
+// exists but has no matching route, only the route is nil. If there is no such
+// account, all three are nil.
 func (s *Snapshot) Find(account, method, path string) (*Template, *Account, *Route) {
 	var known *Account
-	var of *Template
+	var template *Template
 	for _, h := range s.templates {
 		a := h.account(account)
 		if a == nil {
@@ -36,12 +37,12 @@
 		if r := h.template.Route(method, path); r != nil {
 			return h.template, a, r
 		}
-		known, of = a, h.template
+		known, template = a, h.template
 	}
-	return of, known, nil
+	return template, known, nil
 }
 
-func (h *held) account(name string) *Account { return h.buckets[bucketOf(name)][name] }
+func (h *templateAccounts) account(name string) *Account { return h.buckets[bucketOf(name)][name] }
 
 // Templates returns the templates in force.
 func (s *Snapshot) Templates() []*Template {
@@ -52,7 +53,7 @@
 	return templates
 }
 
-// Template returns a template by name, nil if it is not in force here.
+// Template returns a template by name, or nil if it is not in force on this node.
 func (s *Snapshot) Template(name string) *Template {
 	for _, h := range s.templates {
 		if h.template.name == name {
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// Accounts counts the accounts in force.
+// Accounts returns the number of accounts in force.
 func (s *Snapshot) Accounts() int {
 	n := 0
 	for _, h := range s.templates {
@@ -73,35 +74,36 @@
 	return n
 }
 
-// Sequences returns the sequence in force of every shard; do not change the map.
+// Sequences returns the sequence in force of every shard, by shard key. The caller
+// must not modify the map.
 func (s *Snapshot) Sequences() map[string]uint64 { return s.sequences }
 
-// Holder keeps the snapshot in force. Readers take no lock.
+// Holder holds the current snapshot. Reading it takes no lock.
 type Holder struct {
-	mu     sync.Mutex // Held by writers only.
+	mu     sync.Mutex // Serializes writers; guards shards.
 	now    atomic.Pointer[Snapshot]
-	shards map[string][]byte // The values themselves, for peers that ask.
+	shards map[string][]byte // Store values by key, to serve to peers.
 }
 
-// NewHolder returns a holder with nothing in force.
+// NewHolder returns a holder with an empty snapshot.
 func NewHolder() *Holder {
 	h := &Holder{shards: map[string][]byte{}}
 	h.now.Store(&Snapshot{sequences: map[string]uint64{}})
 	return h
 }
 
-// Now returns the snapshot in force.
+// Now returns the current snapshot.
 func (h *Holder) Now() *Snapshot { return h.now.Load() }
 
-// Shard returns a shard's value as it came, nil if there is none.
+// Shard returns the value of a shard as received, or nil if there is none.
 func (h *Holder) Shard(key string) []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.shards[key]
 }
 
-// Apply puts a shard in force if it is newer than what is. It reports whether it
-// was, and refuses a value that is corrupted or does not parse.
+// Apply puts a shard in force if its sequence is higher than the current one, and
+// reports whether it did. A value that is corrupted or does not parse is an error.
 func (h *Holder) Apply(key string, value []byte) (bool, error) {
 	place, err := ParseKey(key)
 	if err != nil {
@@ -132,18 +134,18 @@
 	return true, nil
 }
 
-// setTemplate instantiates anew every account that is held of the template, also
-// those that came before it.
+// setTemplate replaces a template and instantiates its accounts again, including
+// those whose shards arrived before the template.
 func (h *Holder) setTemplate(s *Snapshot, name string, shard *Shard) error {
 	version, ok := shard.Current()
 	if !ok {
-		return errors.New("template shard holds no version")
+		return errors.New("template shard has no version")
 	}
 	t, err := ParseTemplate(name, []byte(version.Source))
 	if err != nil {
 		return err
 	}
-	next := &held{template: t}
+	next := &templateAccounts{template: t}
 	for b, key := range AccountKeys(name) {
 		if value := h.shards[key]; value != nil {
 			accounts, err := DecodeShard(value)
@@ -159,14 +161,14 @@
 		return nil
 	}
 	s.templates = append(s.templates, next)
-	slices.SortFunc(s.templates, func(a, b *held) int { return strings.Compare(a.template.name, b.template.name) })
+	slices.SortFunc(s.templates, func(a, b *templateAccounts) int { return strings.Compare(a.template.name, b.template.name) })
 	return nil
 }
 
 func (s *Snapshot) setBucket(p Place, shard *Shard) {
 	i := s.index(p.Template)
 	if i < 0 {
-		return // The value is kept and instantiated when the template comes.
+		return // setTemplate instantiates the accounts when the template arrives.
 	}
 	next := *s.templates[i]
 	next.buckets[p.Bucket] = next.template.instantiateAll(shard)
@@ -174,30 +176,32 @@
 }
 
 func (s *Snapshot) index(template string) int {
-	return slices.IndexFunc(s.templates, func(h *held) bool { return h.template.name == template })
+	return slices.IndexFunc(s.templates, func(h *templateAccounts) bool { return h.template.name == template })
 }
 
-// instantiateAll makes the accounts of a bucket. A publish is refused when an
-// account does not fit, but a template and an account can be published at the
-// same moment; such an account falls back to the defaults rather than vanish.
+// instantiateAll returns the accounts of a bucket. Publishing a template that does
+// not fit an existing account is refused, but the two can be published at the same
+// time. Parameters that do not fit then fall back to their defaults, so that the
+// account stays available.
 func (t *Template) instantiateAll(shard *Shard) map[string]*Account {
 	accounts := make(map[string]*Account, len(shard.Accounts))
 	for name, stored := range shard.Accounts {
 		a, err := t.Instantiate(name, stored.Parameters)
 		if err != nil {
-			a = t.fitting(name, stored.Parameters)
+			a = t.instantiateValid(name, stored.Parameters)
 		}
 		accounts[name] = a
 	}
 	return accounts
 }
 
-// fitting makes an account from those of its parameters that the template takes.
-func (t *Template) fitting(name string, parameters map[string]string) *Account {
+// instantiateValid returns an account with only those parameters that are valid for
+// the template; the others keep their defaults.
+func (t *Template) instantiateValid(name string, parameters map[string]string) *Account {
 	a := &Account{name: name}
 	for i, p := range t.parameters {
 		text, set := parameters[p.name]
-		if set && p.Check(text) == nil && text != p.standard {
+		if set && p.Check(text) == nil && text != p.defaultValue {
 			a.values = append(a.values, newValue(i, p, text))
 		}
 	}
--- a/config/parameter.go
+++ b/config/parameter.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// Type is the type of a parameter.
+// Type is the type of a parameter, as written in templates.
 type Type string
 
 // The types of parameters.
@@ -18,16 +18,16 @@
 	Text     Type = "text"
 )
 
-const maxText = 256
+const maxText = 256 // bytes
 
-// Parameter is what a client account may set.
+// Parameter is a parameter that a template declares and client accounts set.
 type Parameter struct {
-	name     string
-	kind     Type
-	standard string // The default; empty with required set.
-	required bool
-	least    string
-	most     string
+	name         string
+	kind         Type
+	defaultValue string // May be empty if required is set.
+	required     bool
+	minimum      string
+	maximum      string
 }
 
 // Name returns the parameter's name.
@@ -36,13 +36,13 @@
 // Type returns the parameter's type.
 func (p Parameter) Type() Type { return p.kind }
 
-// Default returns the value used by accounts that set none.
-func (p Parameter) Default() string { return p.standard }
+// Default returns the value for accounts that set none.
+func (p Parameter) Default() string { return p.defaultValue }
 
-// Required reports whether every account has to set it.
+// Required reports whether every account must set the parameter.
 func (p Parameter) Required() bool { return p.required }
 
-// Check tells what is wrong with a value, nil if nothing is.
+// Check validates a value against the parameter's type and bounds.
 func (p Parameter) Check(value string) error {
 	switch p.kind {
 	case Duration:
@@ -59,11 +59,11 @@
 	if err != nil {
 		return errors.Errorf("%q is no duration such as 800ms", value)
 	}
-	if least, err := time.ParseDuration(p.least); err == nil && d < least {
-		return errors.Errorf("%s is under the least value %s", value, p.least)
+	if minimum, err := time.ParseDuration(p.minimum); err == nil && d < minimum {
+		return errors.Errorf("%s is under the least value %s", value, p.minimum)
 	}
-	if most, err := time.ParseDuration(p.most); err == nil && d > most {
-		return errors.Errorf("%s is over the largest value %s", value, p.most)
+	if maximum, err := time.ParseDuration(p.maximum); err == nil && d > maximum {
+		return errors.Errorf("%s is over the largest value %s", value, p.maximum)
 	}
 	return nil
 }
@@ -71,18 +71,19 @@
 func (p Parameter) checkInteger(value string) error {
 	n, err := strconv.Atoi(value)
 	if err != nil {
-		return errors.Errorf("%q is no whole number", value)
+		return errors.Errorf("%q is not an integer", value)
 	}
-	if least, err := strconv.Atoi(p.least); err == nil && n < least {
-		return errors.Errorf("%s is under the least value %s", value, p.least)
+	if minimum, err := strconv.Atoi(p.minimum); err == nil && n < minimum {
+		return errors.Errorf("%s is under the least value %s", value, p.minimum)
 	}
-	if most, err := strconv.Atoi(p.most); err == nil && n > most {
-		return errors.Errorf("%s is over the largest value %s", value, p.most)
+	if maximum, err := strconv.Atoi(p.maximum); err == nil && n > maximum {
+		return errors.Errorf("%s is over the largest value %s", value, p.maximum)
 	}
 	return nil
 }
 
-// checkText refuses what could end a header line or fill one.
+// checkText validates a text, which may become the value of an HTTP header: it must
+// be short printable ASCII without line breaks.
 func checkText(value string) error {
 	if len(value) > maxText {
 		return errors.Errorf("text of %d bytes is over the largest length %d", len(value), maxText)
@@ -95,17 +96,18 @@
 	return nil
 }
 
-// setting is a field of a template: a fixed value, or a reference to a parameter
-// that each account resolves for itself.
-type setting struct {
-	text      string
-	duration  time.Duration
-	parameter int // Index into the template's parameters; fixed if negative.
+// fieldValue is the value of a template's field: either fixed, or a reference to a
+// parameter that is resolved per account.
+type fieldValue struct {
+	text      string        // The fixed value, or the parameter's default.
+	duration  time.Duration // As text, for durations.
+	parameter int           // Index into the template's parameters, or noParameter.
 }
 
-const fixed = -1
+// noParameter is the parameter index of a fixed value.
+const noParameter = -1
 
-// reference returns the name in "${name}".
+// reference returns the parameter name of a reference "${name}".
 func reference(text string) (string, bool) {
 	if strings.HasPrefix(text, "${") && strings.HasSuffix(text, "}") {
 		return text[2 : len(text)-1], true
--- a/config/parse.go
+++ b/config/parse.go
@@ -12,14 +12,14 @@
 	"github.com/pkg/errors"
 )
 
-// Standard values of fields that a template may leave out.
+// Defaults of optional fields.
 const (
-	standardSlots        = 9
-	standardConnections  = 200
-	standardSensitivity  = 0.01
-	standardRetryBudget  = 0.1
-	standardRepeatWindow = 15 * time.Minute
-	standardTimeout      = 2 * time.Second
+	defaultSlots        = 9    // Concurrent requests per upstream.
+	defaultConnections  = 200  // Per upstream, from all nodes.
+	defaultSensitivity  = 0.01 // False ejections per upstream and day.
+	defaultRetryBudget  = 0.1  // Retries and hedges per request.
+	defaultRepeatWindow = 15 * time.Minute
+	defaultTimeout      = 2 * time.Second
 )
 
 // Bounds of the fields.
@@ -33,12 +33,12 @@
 	maxSensitivity  = 100
 	minSensitivity  = 1e-9
 	maxRetryBudget  = 1
-	// MaxTemplate bounds a template's source, so that a value of the store holds
-	// it together with its history. In bytes.
+	// MaxTemplate is the maximum size of a template's source in bytes. A store
+	// value holds several versions of it.
 	MaxTemplate = 64 << 10
 )
 
-// templateFile is the YAML of a template.
+// templateFile is the YAML form of a template.
 type templateFile struct {
 	Template   string          `yaml:"template"`
 	Parameters []parameterFile `yaml:"parameters"`
@@ -75,21 +75,23 @@
 	Headers   map[string]string `yaml:"headers"`
 }
 
-// Faults is everything that is wrong with a document.
+// Faults is the error that lists all faults of a document.
 type Faults struct{ lines []string }
 
-// Error lists the faults, one a line.
+// Error returns the faults, one a line.
 func (f *Faults) Error() string { return strings.Join(f.lines, "\n") }
 
-// reader collects faults with their places while a template is built.
+// reader builds a template from its YAML form and collects faults with their
+// positions.
 type reader struct {
 	file     string
 	document *ast.File
 	faults   Faults
 }
 
-// ParseTemplate reads a template strictly. The file name only serves the error,
-// which is a *Faults that names file, line and field of everything wrong.
+// ParseTemplate parses and validates a template; unknown fields are faults. The
+// error is a *Faults with file, line and field of every fault. The file name is
+// used for the error only.
 func ParseTemplate(file string, source []byte) (*Template, error) {
 	r := &reader{file: file}
 	if len(source) > MaxTemplate {
@@ -129,13 +131,13 @@
 	return false
 }
 
-// fault records what is wrong with a field such as services[0].floor.
+// fault records a fault of a field, such as services[0].floor.
 func (r *reader) fault(field, format string, arguments ...any) {
 	line := r.line(field)
 	r.faults.lines = append(r.faults.lines, fmt.Sprintf("%s:%d: %s: %s", r.file, line, field, fmt.Sprintf(format, arguments...)))
 }
 
-// line finds the line of a field, or of the nearest field above it.
+// line returns the line of a field, or that of its closest existing ancestor.
 func (r *reader) line(field string) int {
 	for field != "" {
 		path, err := yaml.PathString("$." + field)
@@ -167,7 +169,7 @@
 }
 
 func (r *reader) parameter(field string, c parameterFile) Parameter {
-	p := Parameter{name: c.Name, kind: Type(c.Type), required: c.Required, least: c.Min, most: c.Max}
+	p := Parameter{name: c.Name, kind: Type(c.Type), required: c.Required, minimum: c.Min, maximum: c.Max}
 	switch p.kind {
 	case Duration, Integer:
 		r.bound(field+".min", p, c.Min)
@@ -186,8 +188,8 @@
 	if c.Default == nil {
 		return p
 	}
-	p.standard = *c.Default
-	if err := p.Check(p.standard); err != nil {
+	p.defaultValue = *c.Default
+	if err := p.Check(p.defaultValue); err != nil {
 		r.fault(field+".default", "%v", err)
 	}
 	return p
@@ -226,11 +228,11 @@
 		list:         c.List,
 		expected:     c.Upstreams,
 		floor:        c.Floor,
-		slots:        r.count(field+".slots", c.Slots, standardSlots),
-		connections:  r.count(field+".connections", c.Connections, standardConnections),
-		sensitivity:  r.number(field+".sensitivity", c.Sensitivity, standardSensitivity, minSensitivity, maxSensitivity),
-		retryBudget:  r.number(field+".retry_budget", c.RetryBudget, standardRetryBudget, 0, maxRetryBudget),
-		repeatWindow: standardRepeatWindow,
+		slots:        r.count(field+".slots", c.Slots, defaultSlots),
+		connections:  r.count(field+".connections", c.Connections, defaultConnections),
+		sensitivity:  r.number(field+".sensitivity", c.Sensitivity, defaultSensitivity, minSensitivity, maxSensitivity),
+		retryBudget:  r.number(field+".retry_budget", c.RetryBudget, defaultRetryBudget, 0, maxRetryBudget),
+		repeatWindow: defaultRepeatWindow,
 	}
 	r.name(field+".name", c.Name)
 	if s.list == "" {
@@ -254,9 +256,9 @@
 	return s
 }
 
-func (r *reader) count(field string, n *int, standard int) int {
+func (r *reader) count(field string, n *int, defaultValue int) int {
 	if n == nil {
-		return standard
+		return defaultValue
 	}
 	if *n < 1 || *n > maxSlots {
 		r.fault(field, "%d is not between 1 and %d", *n, maxSlots)
@@ -264,24 +266,24 @@
 	return *n
 }
 
-func (r *reader) number(field string, n *float64, standard, least, most float64) float64 {
+func (r *reader) number(field string, n *float64, defaultValue, minimum, maximum float64) float64 {
 	if n == nil {
-		return standard
+		return defaultValue
 	}
-	if !(*n >= least && *n <= most) {
-		r.fault(field, "%v is not between %v and %v", *n, least, most)
+	if !(*n >= minimum && *n <= maximum) {
+		r.fault(field, "%v is not between %v and %v", *n, minimum, maximum)
 	}
 	return *n
 }
 
-func (r *reader) duration(field, text string, least, most time.Duration) time.Duration {
+func (r *reader) duration(field, text string, minimum, maximum time.Duration) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		r.fault(field, "%q is no duration such as 800ms", text)
-		return least
+		return minimum
 	}
-	if d < least || d > most {
-		r.fault(field, "%s is not between %s and %s", text, least, most)
+	if d < minimum || d > maximum {
+		r.fault(field, "%s is not between %s and %s", text, minimum, maximum)
 	}
 	return d
 }
@@ -300,7 +302,7 @@
 	case AtMostOnce.String():
 		route.operation = AtMostOnce
 	default:
-		// There is no default: guessing "retryable" wrong would run work twice.
+		// There is no default: a wrong guess of "retryable" would run requests twice.
 		r.fault(field+".operation", "%q is neither retryable nor at_most_once", c.Operation)
 	}
 	route.timeout = r.timeout(t, field+".timeout", c.Timeout)
@@ -314,48 +316,49 @@
 	s.routes = append(s.routes, route)
 }
 
-func (r *reader) timeout(t *Template, field, text string) setting {
+func (r *reader) timeout(t *Template, field, text string) fieldValue {
 	if text == "" {
-		return setting{duration: standardTimeout, parameter: fixed}
+		return fieldValue{duration: defaultTimeout, parameter: noParameter}
 	}
 	name, ok := reference(text)
 	if !ok {
-		return setting{duration: r.duration(field, text, minTimeout, maxTimeout), parameter: fixed}
+		return fieldValue{duration: r.duration(field, text, minTimeout, maxTimeout), parameter: noParameter}
 	}
 	i := r.find(t, field, name, Duration)
 	if i < 0 {
-		return setting{parameter: fixed}
+		return fieldValue{parameter: noParameter}
 	}
 	p := t.parameters[i]
-	standard := standardTimeout
+	defaultValue := defaultTimeout
 	if !p.required {
-		standard = r.duration(field, p.standard, minTimeout, maxTimeout)
+		defaultValue = r.duration(field, p.defaultValue, minTimeout, maxTimeout)
 	}
-	for _, bound := range []string{p.least, p.most} {
+	for _, bound := range []string{p.minimum, p.maximum} {
 		if bound != "" {
 			r.duration(field, bound, minTimeout, maxTimeout)
 		}
 	}
-	return setting{duration: standard, parameter: i}
+	return fieldValue{duration: defaultValue, parameter: i}
 }
 
-func (r *reader) text(t *Template, field, text string) setting {
+func (r *reader) text(t *Template, field, text string) fieldValue {
 	name, ok := reference(text)
 	if !ok {
 		if err := checkText(text); err != nil {
 			r.fault(field, "%v", err)
 		}
-		return setting{text: text, parameter: fixed}
+		return fieldValue{text: text, parameter: noParameter}
 	}
 	i := t.parameter(name)
 	if i < 0 {
 		r.fault(field, "no parameter %s is declared", strconv.Quote(name))
-		return setting{parameter: fixed}
+		return fieldValue{parameter: noParameter}
 	}
-	return setting{text: t.parameters[i].standard, parameter: i}
+	return fieldValue{text: t.parameters[i].defaultValue, parameter: i}
 }
 
-// find returns the index of a parameter of the wanted type, or -1 with a fault.
+// find returns the index of a parameter. If there is none of this name and type, it
+// records a fault and returns -1.
 func (r *reader) find(t *Template, field, name string, kind Type) int {
 	i := t.parameter(name)
 	if i < 0 {
--- a/config/route.go
+++ b/config/route.go
@@ -6,36 +6,37 @@
 	"github.com/pkg/errors"
 )
 
-// routeTree finds a route by method and path segment by segment. A literal
-// segment wins over {name}, and {name...} takes the rest of the path.
+// routeTree is a trie of path segments that finds the route of a request. A literal
+// segment takes precedence over {name}, and {name} over {name...}, which matches the
+// rest of the path.
 type routeTree struct {
-	literal map[string]*routeTree
-	any     *routeTree
-	rest    map[string]*Route // By method.
-	here    map[string]*Route // By method.
+	literal  map[string]*routeTree
+	wildcard *routeTree        // Of {name}.
+	catchAll map[string]*Route // Of {name...}, by method.
+	exact    map[string]*Route // Routes whose pattern ends here, by method.
 }
 
-// add puts a route in. It fails when the place is taken.
+// add inserts a route. It fails if another route matches the same requests.
 func (t *routeTree) add(r *Route) error {
-	at := t
+	node := t
 	path := strings.TrimPrefix(r.pattern, "/")
 	for path != "" {
 		var segment string
 		segment, path, _ = strings.Cut(path, "/")
 		if strings.HasSuffix(segment, "...}") {
-			return place(&at.rest, r)
+			return insert(&node.catchAll, r)
 		}
-		at = at.child(segment)
+		node = node.child(segment)
 	}
-	return place(&at.here, r)
+	return insert(&node.exact, r)
 }
 
 func (t *routeTree) child(segment string) *routeTree {
 	if strings.HasPrefix(segment, "{") {
-		if t.any == nil {
-			t.any = &routeTree{}
+		if t.wildcard == nil {
+			t.wildcard = &routeTree{}
 		}
-		return t.any
+		return t.wildcard
 	}
 	if t.literal == nil {
 		t.literal = map[string]*routeTree{}
@@ -46,41 +47,41 @@
 	return t.literal[segment]
 }
 
-func place(where *map[string]*Route, r *Route) error {
-	if *where == nil {
-		*where = map[string]*Route{}
+func insert(routes *map[string]*Route, r *Route) error {
+	if *routes == nil {
+		*routes = map[string]*Route{}
 	}
-	if taken, ok := (*where)[r.method]; ok {
-		return errors.Errorf("%s %s matches the same requests as route %q", r.method, r.pattern, taken.name)
+	if existing, ok := (*routes)[r.method]; ok {
+		return errors.Errorf("%s %s matches the same requests as route %q", r.method, r.pattern, existing.name)
 	}
-	(*where)[r.method] = r
+	(*routes)[r.method] = r
 	return nil
 }
 
-// find returns the most literal route that matches, nil if there is none.
+// find returns the matching route of the highest precedence, or nil if there is none.
 func (t *routeTree) find(method, path string) *Route {
 	path = strings.TrimPrefix(path, "/")
 	if path == "" {
-		if r := t.here[method]; r != nil {
+		if r := t.exact[method]; r != nil {
 			return r
 		}
-		return t.rest[method]
+		return t.catchAll[method]
 	}
-	segment, left, _ := strings.Cut(path, "/")
+	segment, remainder, _ := strings.Cut(path, "/")
 	if next := t.literal[segment]; next != nil {
-		if r := next.find(method, left); r != nil {
+		if r := next.find(method, remainder); r != nil {
 			return r
 		}
 	}
-	if t.any != nil {
-		if r := t.any.find(method, left); r != nil {
+	if t.wildcard != nil {
+		if r := t.wildcard.find(method, remainder); r != nil {
 			return r
 		}
 	}
-	return t.rest[method]
+	return t.catchAll[method]
 }
 
-// checkPattern tells what is wrong with "METHOD /path/{name}".
+// checkPattern splits and validates a pattern of the form "METHOD /path/{name}".
 func checkPattern(text string) (method, path string, err error) {
 	method, path, ok := strings.Cut(text, " ")
 	if !ok || !strings.HasPrefix(path, "/") || !methods[method] {
--- a/config/template.go
+++ b/config/template.go
@@ -1,5 +1,5 @@
-// Package config holds what operators publish: templates with parameters, and
-// client accounts that instantiate them.
+// Package config implements the configuration that operators publish: templates
+// with parameters, and client accounts that instantiate them.
 //
 // # Usage
 //
@@ -8,20 +8,20 @@
 //	route := t.Route("GET", "/births/118")
 //	timeout := a.Timeout(route)
 //
-// Parsing is strict. Every fault is reported, with file, line and field. What
-// comes out is immutable, so the request path reads it without a lock.
+// Parsing is strict and reports every fault with file, line and field. Parsed
+// templates and accounts are immutable, so the request path reads them without locks.
 package config
 
 import "time"
 
-// Operation is the kind of work a route stands for.
+// Operation tells whether the requests of a route may be retried.
 type Operation int
 
 // The kinds of operation.
 const (
-	// Retryable work may be sent again, to the same or another upstream.
+	// Retryable requests may be sent again, to the same or another upstream.
 	Retryable Operation = iota
-	// AtMostOnce work is sent once and never again.
+	// AtMostOnce requests are never sent again.
 	AtMostOnce
 )
 
@@ -33,7 +33,7 @@
 	return "retryable"
 }
 
-// Template is a published template, checked and ready for lookups.
+// Template is a validated template with an index of its routes.
 type Template struct {
 	name       string
 	source     string
@@ -45,16 +45,16 @@
 // Name returns the template's name.
 func (t *Template) Name() string { return t.name }
 
-// Source returns the YAML it was made from.
+// Source returns the YAML source of the template.
 func (t *Template) Source() string { return t.source }
 
-// Parameters returns the declared parameters; do not change the slice.
+// Parameters returns the declared parameters. The caller must not modify the slice.
 func (t *Template) Parameters() []Parameter { return t.parameters }
 
-// Services returns the services; do not change the slice.
+// Services returns the template's services. The caller must not modify the slice.
 func (t *Template) Services() []*Service { return t.services }
 
-// Service returns a service by name, nil if there is none.
+// Service returns a service by name, or nil if there is none.
 func (t *Template) Service(name string) *Service {
 	for _, s := range t.services {
 		if s.name == name {
@@ -64,11 +64,11 @@
 	return nil
 }
 
-// Route finds the route of a request; path starts with a slash. It returns nil
-// if the template has none, and allocates nothing.
+// Route returns the route of a request, or nil if none matches. The path starts with
+// a slash. Route does not allocate.
 func (t *Template) Route(method, path string) *Route { return t.routes.find(method, path) }
 
-// Service is one service of a template.
+// Service is a service of a template, with its limits and routes.
 type Service struct {
 	name         string
 	list         string
@@ -88,32 +88,33 @@
 // List returns the service's name in the platform's instance list.
 func (s *Service) List() string { return s.list }
 
-// Expected returns how many upstreams the service has when all is well.
+// Expected returns the number of upstreams of the service in normal operation.
 func (s *Service) Expected() int { return s.expected }
 
-// Floor returns how many upstreams must never be ejected.
+// Floor returns the minimum number of upstreams that must not be ejected.
 func (s *Service) Floor() int { return s.floor }
 
-// Slots returns how many requests one upstream works on at once.
+// Slots returns the maximum number of concurrent requests per upstream.
 func (s *Service) Slots() int { return s.slots }
 
-// Connections returns how many connections one upstream bears from all nodes.
+// Connections returns the maximum number of connections per upstream, from all nodes
+// together.
 func (s *Service) Connections() int { return s.connections }
 
-// Sensitivity returns the wanted bound on false ejections, per upstream and day.
+// Sensitivity returns the target bound on false ejections, per upstream and day.
 func (s *Service) Sensitivity() float64 { return s.sensitivity }
 
-// RetryBudget returns how many retries and hedges are allowed per request.
+// RetryBudget returns the number of retries and hedges allowed per request, as a ratio.
 func (s *Service) RetryBudget() float64 { return s.retryBudget }
 
-// RepeatWindow returns how long an Idempotency-Key is remembered.
+// RepeatWindow returns how long an Idempotency-Key is stored.
 func (s *Service) RepeatWindow() time.Duration { return s.repeatWindow }
 
-// Routes returns the routes; do not change the slice.
+// Routes returns the service's routes. The caller must not modify the slice.
 func (s *Service) Routes() []*Route { return s.routes }
 
-// OnlyAtMostOnce reports whether no route of the service is retryable, in which
-// case readmission cannot wait for a retryable trial.
+// OnlyAtMostOnce reports whether no route of the service is retryable. An ejected
+// upstream must then be readmitted without a retryable trial request.
 func (s *Service) OnlyAtMostOnce() bool {
 	for _, r := range s.routes {
 		if r.operation == Retryable {
@@ -123,20 +124,20 @@
 	return true
 }
 
-// Route is one method and path pattern of a service.
+// Route is a method and path pattern of a service.
 type Route struct {
 	name      string
 	service   *Service
 	method    string
 	pattern   string
 	operation Operation
-	timeout   setting
+	timeout   fieldValue
 	headers   []header
 }
 
 type header struct {
 	name  string
-	value setting
+	value fieldValue
 }
 
 // Name returns the route's name.
@@ -151,5 +152,5 @@
 // Pattern returns the path pattern, such as /births/{id}.
 func (r *Route) Pattern() string { return r.pattern }
 
-// Operation returns the kind of work.
+// Operation returns whether the route's requests may be retried.
 func (r *Route) Operation() Operation { return r.operation }
