--- a/settings/check.go
+++ b/settings/check.go
@@ -63,7 +63,7 @@
 	return faults
 }
 
-const leastToken = 16
+const minToken = 16 // characters
 
 func (s *Settings) checkTeams(fault func(field, format string, arguments ...any)) {
 	seen := map[string]bool{}
@@ -72,8 +72,8 @@
 		if err := config.CheckName(t.Name); err != nil {
 			fault(field+".name", "%v", err)
 		}
-		if len(t.Token) < leastToken {
-			fault(field+".token", "is under %d characters", leastToken)
+		if len(t.Token) < minToken {
+			fault(field+".token", "is under %d characters", minToken)
 		}
 		if seen[t.Token] {
 			fault(field+".token", "is used by another team")
@@ -90,8 +90,8 @@
 	if l.KeyedBodyBytes < 0 || l.KeyedBodyBytes > l.BodyBytes {
 		fault("limits.keyed_body_bytes", "%d is not between 0 and body_bytes", l.KeyedBodyBytes)
 	}
-	if l.HeaderBytes < leastHeader || l.HeaderBytes > standardBody {
-		fault("limits.header_bytes", "%d is not between %d and %d", l.HeaderBytes, leastHeader, standardBody)
+	if l.HeaderBytes < minHeader || l.HeaderBytes > defaultBody {
+		fault("limits.header_bytes", "%d is not between %d and %d", l.HeaderBytes, minHeader, defaultBody)
 	}
 	if l.Connections < 1 || l.Connections > maxConnections {
 		fault("limits.connections", "%d is not between 1 and %d", l.Connections, maxConnections)
--- a/settings/mesh.go
+++ b/settings/mesh.go
@@ -12,27 +12,27 @@
 	"eiderfold/switches"
 )
 
-// Standard values of fields of a mesh node that may be left out.
+// Defaults of optional fields of a mesh node.
 const (
-	standardMeshGrace   = 6 * time.Second // Until the platform kills a stopping process.
-	standardRetryRatio  = 0.2             // Repeats for each request of the fleet.
-	standardRetrySlack  = 20              // Repeats above the ratio.
-	standardFloorShare  = 0.7             // Of a service's gates.
-	standardAcknowledge = 4 * time.Second
-	standardLimitWindow = 5 * time.Second // Over which an account's requests are counted.
-	standardMemory      = 256             // Megabytes.
+	defaultMeshGrace   = 6 * time.Second // From SIGTERM until the platform kills the process.
+	defaultRetryRatio  = 0.2             // Repeated attempts per request of the fleet.
+	defaultRetrySlack  = 20              // Repeated attempts above the ratio.
+	defaultFloorShare  = 0.7             // Of a service's gates.
+	defaultAcknowledge = 4 * time.Second
+	defaultLimitWindow = 5 * time.Second // Window in which an account's requests are counted.
+	defaultMemory      = 256             // Memory of the instance, in megabytes.
 )
 
-// bodyMemoryPart is one over the part of an instance's memory that requests' bodies take:
-// while one is sent there are up to three copies of it, and answers, links and tables need
-// the rest.
-const bodyMemoryPart = 16
+// bodyMemoryDivisor is the divisor that gives the part of an instance's memory that
+// request bodies may use. Up to three copies of a body exist while it is sent, and
+// responses, links and tables need the rest.
+const bodyMemoryDivisor = 16
 
-// leastMeshGrace leaves something of the time that a node keeps free before it is
-// killed (killMargin of package mesh).
-const leastMeshGrace = time.Second
+// minMeshGrace is the minimum grace period. It is longer than the margin that a
+// node reserves before it is killed (killMargin of package mesh).
+const minMeshGrace = time.Second
 
-// meshFile is the YAML of a node of `eiderfold mesh`.
+// meshFile is the YAML form of the settings of `eiderfold mesh`.
 type meshFile struct {
 	Node       string        `yaml:"node"`
 	DataCentre string        `yaml:"data_centre"`
@@ -44,13 +44,15 @@
 	Limits     accountLimits `yaml:"account_limits"`
 	Stop       meshStop      `yaml:"stop"`
 	Log        logFields     `yaml:"log"`
-	// Off names mechanisms to switch off, for measurements.
+	// Off lists mechanisms to switch off, for measurements.
 	Off []string `yaml:"off"`
-	// Regions are those of the data centres; without them, no request can be bound to one.
+	// Regions maps data centres to regions. Requests can be restricted to a region
+	// only if it is set.
 	Regions map[string]string `yaml:"regions"`
-	// FirstStart says that the whole fleet starts for the first time.
+	// FirstStart is set if the whole fleet starts for the first time.
 	FirstStart bool `yaml:"first_start"`
-	// Memory is the instance's, in megabytes, of which requests' bodies get a part.
+	// Memory is the memory of the instance in megabytes. Request bodies may use a
+	// part of it.
 	Memory int64 `yaml:"memory_mb"`
 }
 
@@ -62,7 +64,7 @@
 type meshListen struct {
 	Callers string `yaml:"callers"`
 	Links   string `yaml:"links"`
-	// Advertise is where other nodes find Links, if not at its own address.
+	// Advertise is the address at which other nodes reach Links, if it differs.
 	Advertise string `yaml:"advertise"`
 	Reports   string `yaml:"reports"`
 	Ready     string `yaml:"ready"`
@@ -79,21 +81,21 @@
 	Slack float64 `yaml:"slack"`
 }
 
-// accountLimits is what is granted above the limits of client accounts.
+// accountLimits is the tolerance above the limits of client accounts.
 type accountLimits struct {
 	Window time.Duration `yaml:"window"`
-	Over   float64       `yaml:"over"`  // Part of a window's requests.
-	Slack  float64       `yaml:"slack"` // Requests in a window.
+	Over   float64       `yaml:"over"`  // Fraction of a window's requests.
+	Slack  float64       `yaml:"slack"` // Requests per window.
 }
 
 type meshStop struct {
 	Grace time.Duration `yaml:"grace"`
 }
 
-// Mesh is the checked settings of a node of `eiderfold mesh`.
+// Mesh holds the validated settings of `eiderfold mesh`.
 type Mesh struct{ file meshFile }
 
-// LoadMesh reads and checks a file. Its error names every fault by field.
+// LoadMesh reads and validates a settings file. The error lists every fault by field.
 func LoadMesh(path string) (*Mesh, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -102,7 +104,8 @@
 	return ParseMesh(path, text)
 }
 
-// ParseMesh checks the text of a file.
+// ParseMesh parses and validates the text of a settings file. The path is used for
+// the error only.
 func ParseMesh(path string, text []byte) (*Mesh, error) {
 	m := &Mesh{}
 	if err := yaml.UnmarshalWithOptions(text, &m.file, yaml.Strict()); err != nil {
@@ -124,7 +127,7 @@
 // Upstream returns the IP:port of the upstream beside the node.
 func (m *Mesh) Upstream() string { return m.file.Upstream.Address }
 
-// Service returns the upstream's service.
+// Service returns the service that the upstream belongs to.
 func (m *Mesh) Service() string { return m.file.Upstream.Service }
 
 // Callers returns the IP:port for callers.
@@ -144,77 +147,79 @@
 // Reports returns the IP:port for the upstream's heartbeats.
 func (m *Mesh) Reports() string { return m.file.Listen.Reports }
 
-// Ready returns the IP:port for questions of readiness.
+// Ready returns the IP:port for readiness probes.
 func (m *Mesh) Ready() string { return m.file.Listen.Ready }
 
-// Metrics returns the IP:port for metrics and the state dump; may be empty.
+// Metrics returns the IP:port for metrics and the state dump, or "" if not served.
 func (m *Mesh) Metrics() string { return m.file.Listen.Metrics }
 
 // Store returns the IP:port of the platform's store.
 func (m *Mesh) Store() string { return m.file.Store }
 
-// FloorShare returns the part of a service that suspicion must leave in work.
+// FloorShare returns the fraction of a service's gates that stay in use even if they
+// are suspected.
 func (m *Mesh) FloorShare() float64 { return m.file.Fleet.FloorShare }
 
-// Acknowledge returns the bound for answering an upstream's report.
+// Acknowledge returns the maximum time to respond to an upstream's heartbeat.
 func (m *Mesh) Acknowledge() time.Duration { return m.file.Fleet.Acknowledge }
 
-// Retries returns the fleet's bound on repeats: a ratio of the requests, and a
-// number above it.
+// Retries returns the fleet's limit on repeated attempts: a ratio of the requests,
+// plus a fixed number.
 func (m *Mesh) Retries() (ratio, slack float64) { return m.file.Retries.Ratio, m.file.Retries.Slack }
 
-// AccountLimits returns what is granted above the limits of client accounts.
+// AccountLimits returns the tolerance above the limits of client accounts.
 func (m *Mesh) AccountLimits() quota.Bounds {
 	l := m.file.Limits
 	return quota.Bounds{Window: l.Window, Over: l.Over, Slack: l.Slack}
 }
 
-// Grace returns how long after SIGTERM the process is killed.
+// Grace returns the time from SIGTERM until the platform kills the process.
 func (m *Mesh) Grace() time.Duration { return m.file.Stop.Grace }
 
-// Switches returns which mechanisms are on.
+// Switches returns the set of enabled mechanisms.
 func (m *Mesh) Switches() switches.Set {
-	s, _ := switches.Off(m.file.Off...) // Checked with the file.
+	s, _ := switches.Off(m.file.Off...) // Validated by check.
 	return s
 }
 
-// Regions returns the regions of the data centres.
+// Regions returns the region of each data centre.
 func (m *Mesh) Regions() map[string]string { return m.file.Regions }
 
-// FirstStart tells whether the whole fleet starts for the first time.
+// FirstStart reports whether the whole fleet starts for the first time. A node then
+// registers before it reads the directory.
 func (m *Mesh) FirstStart() bool { return m.file.FirstStart }
 
-// BodyMemory returns how many bytes of requests' bodies are held at a time.
-func (m *Mesh) BodyMemory() int64 { return m.file.Memory << 20 / bodyMemoryPart }
+// BodyMemory returns the memory limit of request bodies in bytes.
+func (m *Mesh) BodyMemory() int64 { return m.file.Memory << 20 / bodyMemoryDivisor }
 
-// LogLevel returns the least level that is logged.
+// LogLevel returns the minimum level that is logged.
 func (m *Mesh) LogLevel() string { return m.file.Log.Level }
 
-// defaults fills what was left out; 0 counts as left out.
+// defaults sets the fields that are missing. A value of 0 counts as missing.
 func (m *Mesh) defaults() {
 	f := &m.file
-	orDuration(&f.Stop.Grace, standardMeshGrace)
-	orDuration(&f.Fleet.Acknowledge, standardAcknowledge)
-	orDuration(&f.Limits.Window, standardLimitWindow)
+	setDefaultDuration(&f.Stop.Grace, defaultMeshGrace)
+	setDefaultDuration(&f.Fleet.Acknowledge, defaultAcknowledge)
+	setDefaultDuration(&f.Limits.Window, defaultLimitWindow)
 	if f.Memory == 0 {
-		f.Memory = standardMemory
+		f.Memory = defaultMemory
 	}
-	orNumber(&f.Fleet.FloorShare, standardFloorShare)
-	orNumber(&f.Retries.Ratio, standardRetryRatio)
-	orNumber(&f.Retries.Slack, standardRetrySlack)
+	setDefaultNumber(&f.Fleet.FloorShare, defaultFloorShare)
+	setDefaultNumber(&f.Retries.Ratio, defaultRetryRatio)
+	setDefaultNumber(&f.Retries.Slack, defaultRetrySlack)
 	if f.Log.Level == "" {
 		f.Log.Level = "info"
 	}
 }
 
-func orDuration(field *time.Duration, standard time.Duration) {
+func setDefaultDuration(field *time.Duration, defaultValue time.Duration) {
 	if *field == 0 {
-		*field = standard
+		*field = defaultValue
 	}
 }
 
-func orNumber(field *float64, standard float64) {
+func setDefaultNumber(field *float64, defaultValue float64) {
 	if *field == 0 {
-		*field = standard
+		*field = defaultValue
 	}
 }
--- a/settings/meshcheck.go
+++ b/settings/meshcheck.go
@@ -8,10 +8,10 @@
 	"eiderfold/switches"
 )
 
-// faultFunc takes note of what is wrong with a field.
+// faultFunc records a fault of a field.
 type faultFunc func(field, format string, arguments ...any)
 
-// check returns all faults, in the order of their fields.
+// check validates the settings and returns all faults, sorted.
 func (m *Mesh) check() []string {
 	var faults []string
 	fault := func(field, format string, arguments ...any) {
@@ -81,8 +81,8 @@
 			fault("regions", "%q: %q names no data centre or no region", dataCentre, region)
 		}
 	}
-	if f.Stop.Grace < leastMeshGrace {
-		fault("stop.grace", "%v is under %v", f.Stop.Grace, leastMeshGrace)
+	if f.Stop.Grace < minMeshGrace {
+		fault("stop.grace", "%v is under %v", f.Stop.Grace, minMeshGrace)
 	}
 }
 
--- a/settings/meshcheck_test.go
+++ b/settings/meshcheck_test.go
@@ -10,7 +10,7 @@
 	"eiderfold/switches"
 )
 
-const goodMesh = `node: n1
+const validMesh = `node: n1
 data_centre: d1
 upstream: {address: "10.0.0.1:80", service: s}
 listen: {callers: "10.0.0.1:81", links: "10.0.0.1:82", reports: "10.0.0.1:83", ready: "10.0.0.1:84"}
@@ -18,7 +18,7 @@
 `
 
 func TestMeshStandardValues(t *testing.T) {
-	m, err := ParseMesh("node.yaml", []byte(goodMesh))
+	m, err := ParseMesh("node.yaml", []byte(validMesh))
 	require.NoError(t, err)
 	ratio, slack := m.Retries()
 	assert.Equal(t, []float64{0.2, 20, 0.7}, []float64{ratio, slack, m.FloorShare()})
@@ -27,7 +27,8 @@
 	assert.Equal(t, m.Links(), m.Advertised())
 }
 
-// TestMeshFaults looks at the whole text: people read it to find the field.
+// TestMeshFaults compares the whole error text, which must name the field of each
+// fault.
 func TestMeshFaults(t *testing.T) {
 	_, err := ParseMesh("node.yaml", []byte(`data_centre: d1
 upstream: {address: "10.0.0.1", service: s}
@@ -57,9 +58,10 @@
 node.yaml: upstream.address: "10.0.0.1" is no IP:port`)
 }
 
-// TestMeshSwitches switches mechanisms off by name; all others stay on.
+// TestMeshSwitches checks that a mechanism listed in off is disabled and that the
+// others stay enabled.
 func TestMeshSwitches(t *testing.T) {
-	m, err := ParseMesh("node.yaml", []byte(goodMesh+"off: [hedges]\n"))
+	m, err := ParseMesh("node.yaml", []byte(validMesh+"off: [hedges]\n"))
 	require.NoError(t, err)
 	assert.False(t, m.Switches().On(switches.Hedges))
 	assert.True(t, m.Switches().On(switches.Silence))
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a node's settings: a YAML file, overridden by the
-// environment, overridden by flags. Everything wrong is reported at once.
+// Package settings reads a node's settings from a YAML file. The environment
+// overrides the file, and flags override both. All faults are reported at once.
 //
 // # Usage
 //
@@ -18,25 +18,25 @@
 	"eiderfold/keys"
 )
 
-// EnvironmentPrefix starts every variable that overrides a field.
+// EnvironmentPrefix is the prefix of environment variables that override a field.
 const EnvironmentPrefix = "EIDERFOLD_"
 
-// Standard values of fields that may be left out.
+// Defaults of optional fields, and bounds.
 const (
-	standardCalls       = 20
-	standardBody        = 16 << 20
-	standardKeyedBody   = 1 << 20
-	standardHeader      = 64 << 10
-	standardConnections = 10_000
-	standardSlowCaller  = 10 * time.Second
-	standardGrace       = 2 * time.Second
-	standardStop        = 30 * time.Second
-	maxConnections      = 1_000_000
-	maxBody             = 1 << 30
-	leastHeader         = 4 << 10
+	defaultCallsPerSecond = 20       // Platform calls per second.
+	defaultBody           = 16 << 20 // Bytes.
+	defaultKeyedBody      = 1 << 20  // Bytes.
+	defaultHeader         = 64 << 10 // Bytes.
+	defaultConnections    = 10_000
+	defaultSlowCaller     = 10 * time.Second
+	defaultGrace          = 2 * time.Second
+	defaultStopDeadline   = 30 * time.Second
+	maxConnections        = 1_000_000
+	maxBody               = 1 << 30 // Bytes.
+	minHeader             = 4 << 10 // Bytes.
 )
 
-// file is the YAML of the settings.
+// file is the YAML form of the settings.
 type file struct {
 	Node       string    `yaml:"node"`
 	DataCentre string    `yaml:"data_centre"`
@@ -71,11 +71,11 @@
 	Authority   string `yaml:"authority"`
 }
 
-// Team is who may use the admin API.
+// Team is a team with access to the admin API.
 type Team struct {
 	Name      string   `yaml:"name"`
 	Token     string   `yaml:"token"`
-	Templates []string `yaml:"templates"` // What it may change; "*" for all.
+	Templates []string `yaml:"templates"` // Templates the team may change; "*" means all.
 	ReadOnly  bool     `yaml:"read_only"`
 }
 
@@ -97,7 +97,7 @@
 	Format string `yaml:"format"`
 }
 
-// Settings are checked settings of a node.
+// Settings holds the validated settings of a node.
 type Settings struct{ file }
 
 // Node returns the node's name, the same as in the platform's list.
@@ -106,13 +106,14 @@
 // DataCentre returns the data centre the node is in.
 func (s *Settings) DataCentre() string { return s.file.DataCentre }
 
-// Beside returns the upstream that runs on the same instance; may be empty.
+// Beside returns the upstream that runs on the same instance, or "" if none does.
 func (s *Settings) Beside() string { return s.file.Beside }
 
 // Templates returns the templates the node serves.
 func (s *Settings) Templates() []string { return s.file.Templates }
 
-// Seeds returns peers to start from while the platform is out.
+// Seeds returns the addresses of peers to contact at startup while the platform is
+// unavailable.
 func (s *Settings) Seeds() []string { return s.file.Seeds }
 
 // Callers returns the IP:port for callers.
@@ -127,46 +128,48 @@
 // PlatformAddress returns the base URL of the store and the instance list.
 func (s *Settings) PlatformAddress() string { return s.Platform.Address }
 
-// PlatformToken returns the access token towards the platform.
+// PlatformToken returns the access token for the platform.
 func (s *Settings) PlatformToken() string { return s.Platform.Token }
 
-// CallsPerSecond returns this node's own bound on calls to the platform.
+// CallsPerSecond returns this node's rate limit on calls to the platform.
 func (s *Settings) CallsPerSecond() float64 { return s.Platform.CallsPerSecond }
 
-// Teams returns who may use the admin API.
+// Teams returns the teams with access to the admin API.
 func (s *Settings) Teams() []Team { return s.file.Teams }
 
-// Body returns the largest body of a request in bytes, and of a keyed operation.
+// Body returns the maximum body size in bytes of any request, and of one with an
+// Idempotency-Key.
 func (s *Settings) Body() (any, keyed int64) {
 	return s.Limits.BodyBytes, s.Limits.KeyedBodyBytes
 }
 
-// Header returns the largest header of a request in bytes.
+// Header returns the maximum size of a request's header in bytes.
 func (s *Settings) Header() int { return s.Limits.HeaderBytes }
 
-// Connections returns how many callers may be connected at a time.
+// Connections returns the maximum number of concurrent caller connections.
 func (s *Settings) Connections() int { return s.Limits.Connections }
 
-// SlowCaller returns how long a caller may take to send a request's header.
+// SlowCaller returns the read timeout of a request's header.
 func (s *Settings) SlowCaller() time.Duration { return s.Limits.SlowCaller }
 
-// Grace returns how long a stopping node still takes requests while callers
-// learn to go elsewhere.
+// Grace returns how long a stopping node still accepts requests, while callers switch
+// to other nodes.
 func (s *Settings) Grace() time.Duration { return s.Stop.Grace }
 
-// StopDeadline returns how long a stop may take in all.
+// StopDeadline returns the total time limit of a stop.
 func (s *Settings) StopDeadline() time.Duration { return s.Stop.Deadline }
 
-// LogLevel returns the least level that is logged.
+// LogLevel returns the minimum level that is logged.
 func (s *Settings) LogLevel() string { return s.Log.Level }
 
-// LogFormat returns json or console.
+// LogFormat returns "json" or "console".
 func (s *Settings) LogFormat() string { return s.Log.Format }
 
-// PeerKeys loads the keys for mutual TLS between nodes.
+// PeerKeys loads the certificate and key for mutual TLS between nodes.
 func (s *Settings) PeerKeys() (*keys.Material, error) { return s.Keys.load() }
 
-// CallerTLS loads the keys towards callers and operators; nil if there are none.
+// CallerTLS loads the certificate and key for TLS with callers and operators. It
+// returns nil if none are configured.
 func (s *Settings) CallerTLS() (*keys.Material, error) {
 	if s.CallerKeys.Certificate == "" {
 		return nil, nil
@@ -175,15 +178,17 @@
 }
 
 func (k keyFiles) load() (*keys.Material, error) {
-	if inline(k.Certificate) {
+	if isPEM(k.Certificate) {
 		return keys.New(keys.Pair{Certificate: []byte(k.Certificate), Key: []byte(k.Key)}, []byte(k.Authority))
 	}
 	return keys.Load(k.Certificate, k.Key, k.Authority)
 }
 
-func inline(text string) bool { return strings.Contains(text, "-----BEGIN") }
+// isPEM reports whether a field holds PEM text rather than a path.
+func isPEM(text string) bool { return strings.Contains(text, "-----BEGIN") }
 
-// Load reads a file and the overrides, and checks the whole.
+// Load reads the file at path, applies the overrides and validates the result. An
+// empty path means no file.
 func Load(path string, environment func(string) (string, bool), flags map[string]string) (*Settings, error) {
 	s := &Settings{}
 	if path != "" {
@@ -198,19 +203,19 @@
 	s.override(environment, flags)
 	s.defaults()
 	if faults := s.check(); len(faults) > 0 {
-		return nil, errors.Errorf("%s: %s", name(path), strings.Join(faults, "\n"+name(path)+": "))
+		return nil, errors.Errorf("%s: %s", displayName(path), strings.Join(faults, "\n"+displayName(path)+": "))
 	}
 	return s, nil
 }
 
-func name(path string) string {
+func displayName(path string) string {
 	if path == "" {
 		return "settings"
 	}
 	return path
 }
 
-// Overridable lists the fields that the environment and flags may set.
+// Overridable returns the fields that the environment and flags may override.
 func Overridable() []string {
 	return []string{"node", "data_centre", "beside", "templates", "seeds", "listen.callers", "listen.admin", "listen.peers", "platform.address", "platform.token", "log.level", "log.format"}
 }
@@ -257,24 +262,24 @@
 }
 
 func (s *Settings) defaults() {
-	fill(&s.Limits.HeaderBytes, standardHeader)
-	fill(&s.Limits.Connections, standardConnections)
+	setDefaultInt(&s.Limits.HeaderBytes, defaultHeader)
+	setDefaultInt(&s.Limits.Connections, defaultConnections)
 	if s.Limits.BodyBytes == 0 {
-		s.Limits.BodyBytes = standardBody
+		s.Limits.BodyBytes = defaultBody
 	}
 	if s.Limits.KeyedBodyBytes == 0 {
-		s.Limits.KeyedBodyBytes = standardKeyedBody
+		s.Limits.KeyedBodyBytes = defaultKeyedBody
 	}
 	if s.Platform.CallsPerSecond == 0 {
-		s.Platform.CallsPerSecond = standardCalls
+		s.Platform.CallsPerSecond = defaultCallsPerSecond
 	}
-	for field, standard := range map[*time.Duration]time.Duration{
-		&s.Limits.SlowCaller: standardSlowCaller,
-		&s.Stop.Grace:        standardGrace,
-		&s.Stop.Deadline:     standardStop,
+	for field, defaultValue := range map[*time.Duration]time.Duration{
+		&s.Limits.SlowCaller: defaultSlowCaller,
+		&s.Stop.Grace:        defaultGrace,
+		&s.Stop.Deadline:     defaultStopDeadline,
 	} {
 		if *field == 0 {
-			*field = standard
+			*field = defaultValue
 		}
 	}
 	if s.Log.Level == "" {
@@ -285,8 +290,8 @@
 	}
 }
 
-func fill(field *int, standard int) {
+func setDefaultInt(field *int, defaultValue int) {
 	if *field == 0 {
-		*field = standard
+		*field = defaultValue
 	}
 }
