--- a/cmd/eiderctl/account.go
+++ b/cmd/eiderctl/account.go
@@ -10,7 +10,7 @@
 )
 
 func accountCommand(o *options) *cobra.Command {
-	c := &cobra.Command{Use: "account", Short: "Instantiate templates for client accounts"}
+	c := &cobra.Command{Use: "account", Short: "Manage the client accounts of a template"}
 	c.AddCommand(setCommand(o), showAccountCommand(o), listAccountsCommand(o), removeCommand(o))
 	return c
 }
@@ -22,15 +22,15 @@
 		Example: "  eiderctl account set montevideo oficina-07 office=7 lookup_timeout=800ms --wait",
 		Args:    cobra.MinimumNArgs(2),
 	}
-	base := c.Flags().Uint64("base", 0, "refuse if another sequence than this is in force for the account")
-	id := c.Flags().String("publish-id", "", "repeat a change whose answer was lost")
+	base := c.Flags().Uint64("base", 0, "refuse the change unless this sequence of the account is in force")
+	id := c.Flags().String("publish-id", "", "repeat the change with this publish id, whose response was lost")
 	wait := waitFlags(c)
 	c.RunE = func(c *cobra.Command, arguments []string) error {
 		parameters := map[string]string{}
 		for _, text := range arguments[2:] {
 			name, value, ok := strings.Cut(text, "=")
 			if !ok {
-				return &exitError{errors.Errorf("%q is no PARAMETER=VALUE", text), exitUsage}
+				return &exitError{errors.Errorf("%q is not of the form PARAMETER=VALUE", text), exitUsage}
 			}
 			parameters[name] = value
 		}
@@ -59,7 +59,7 @@
 func removeCommand(o *options) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "remove TEMPLATE ACCOUNT",
-		Short: "Take a client account out",
+		Short: "Remove a client account",
 		Args:  cobra.ExactArgs(2),
 	}
 	wait := waitFlags(c)
--- a/cmd/eiderctl/client.go
+++ b/cmd/eiderctl/client.go
@@ -16,9 +16,9 @@
 	"eiderfold/gen/http/admin/client"
 )
 
-const callTimeout = 30 * time.Second
+const requestTimeout = 30 * time.Second
 
-// options are the flags every command has.
+// options holds the flags common to all commands.
 type options struct {
 	address   string
 	token     string
@@ -30,13 +30,13 @@
 func (o *options) client() (*adminapi.Client, error) {
 	u, err := url.Parse(o.address)
 	if err != nil || u.Host == "" {
-		return nil, &exitError{errors.Errorf("--address %q is no URL", o.address), exitUsage}
+		return nil, &exitError{errors.Errorf("--address %q is not a URL", o.address), exitUsage}
 	}
-	doer, err := o.doer()
+	httpClient, err := o.httpClient()
 	if err != nil {
 		return nil, err
 	}
-	c := client.NewClient(u.Scheme, u.Host, doer, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
+	c := client.NewClient(u.Scheme, u.Host, httpClient, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	return adminapi.NewClient(
 		c.PublishTemplate(), c.ListTemplates(), c.ShowTemplate(), c.TemplateHistory(),
 		c.SetAccount(), c.RemoveAccount(), c.ShowAccount(), c.ListAccounts(),
@@ -44,9 +44,9 @@
 	), nil
 }
 
-func (o *options) doer() (*http.Client, error) {
+func (o *options) httpClient() (*http.Client, error) {
 	if o.authority == "" {
-		return &http.Client{Timeout: callTimeout}, nil
+		return &http.Client{Timeout: requestTimeout}, nil
 	}
 	text, err := os.ReadFile(o.authority)
 	if err != nil {
@@ -57,10 +57,10 @@
 		return nil, errors.New("--authority: no PEM certificate")
 	}
 	transport := &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}
-	return &http.Client{Timeout: callTimeout, Transport: transport}, nil
+	return &http.Client{Timeout: requestTimeout, Transport: transport}, nil
 }
 
-// bearer returns the token as the API wants it, nil if there is none.
+// bearer returns the value of the Authorization header, or nil if there is no token.
 func (o *options) bearer() *string {
 	if o.token == "" {
 		return nil
@@ -69,5 +69,6 @@
 	return &text
 }
 
-// newPublishID names one change; a retry of the same call uses the same one.
+// newPublishID returns a unique id of a change. Repeating a change with the same id
+// has no further effect.
 func newPublishID() string { return uuid.NewString() }
--- a/cmd/eiderctl/explain.go
+++ b/cmd/eiderctl/explain.go
@@ -13,12 +13,12 @@
 	"github.com/spf13/cobra"
 )
 
-// maxLogLine bounds a log line in bytes; longer ones are not of ours.
+// maxLogLine is the maximum length of a log line in bytes; nodes write shorter lines.
 const maxLogLine = 1 << 20
 
-// logLine is one line of a node's log: the fields that every line has, and the rest.
+// logLine is a parsed line of a node's log: the common fields, and the rest.
 type logLine struct {
-	time    string // RFC 3339 with nanoseconds in UTC, so that text order is time order.
+	time    string // RFC 3339 with nanoseconds in UTC, so it sorts as text.
 	node    string
 	message string
 	rest    map[string]any
@@ -27,8 +27,8 @@
 func explainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "explain ID [FILE...]",
-		Short:   "Print a request's story from the logs of any number of nodes, in order of time",
-		Long:    "Reads structured logs of nodes from files, or from standard input, and prints every\nline about the request with this id, whichever node wrote it.",
+		Short:   "Print the log lines of a request from any number of nodes, in order of time",
+		Long:    "Reads structured logs of nodes from files, or from standard input, and prints every\nline about the request with this id, from all nodes.",
 		Example: "  eiderctl explain 9c41d07be2a35f68 node-*.log\n  journalctl -u eiderfold | eiderctl explain 9c41d07be2a35f68",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -37,9 +37,9 @@
 				return err
 			}
 			if len(lines) == 0 {
-				return errors.Errorf("no line about %s; routine answers are only counted, at level info", args[0])
+				return errors.Errorf("no line about %s; at level info, routine responses are counted but not logged", args[0])
 			}
-			return printStory(c.OutOrStdout(), lines)
+			return printLines(c.OutOrStdout(), lines)
 		},
 	}
 }
@@ -54,18 +54,18 @@
 	return lines, err
 }
 
-// eachLine hands over every line of some files, or of in where there are none.
-func eachLine(files []string, in io.Reader, take func(text string)) error {
+// eachLine calls handle for every line of the files, or of in if there are no files.
+func eachLine(files []string, in io.Reader, handle func(text string)) error {
 	if len(files) == 0 {
-		return scanLines(in, take)
+		return scanLines(in, handle)
 	}
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
 			return errors.Wrap(err, "log")
 		}
-		err = scanLines(f, take)
-		_ = f.Close() // It was only read.
+		err = scanLines(f, handle)
+		_ = f.Close() // Closing a file opened for reading loses no data.
 		if err != nil {
 			return errors.Wrap(err, name)
 		}
@@ -73,16 +73,16 @@
 	return nil
 }
 
-func scanLines(in io.Reader, take func(text string)) error {
+func scanLines(in io.Reader, handle func(text string)) error {
 	s := bufio.NewScanner(in)
 	s.Buffer(nil, maxLogLine)
 	for s.Scan() {
-		take(s.Text())
+		handle(s.Text())
 	}
 	return errors.Wrap(s.Err(), "read")
 }
 
-// parseLine reads a JSON line, also behind the prefix of a log collector.
+// parseLine parses a JSON line. It skips the prefix that a log collector may add.
 func parseLine(text string) (logLine, bool) {
 	at := strings.IndexByte(text, '{')
 	if at < 0 {
@@ -102,7 +102,7 @@
 	return l, l.message != ""
 }
 
-func printStory(out io.Writer, lines []logLine) error {
+func printLines(out io.Writer, lines []logLine) error {
 	slices.SortStableFunc(lines, func(a, b logLine) int { return strings.Compare(a.time, b.time) })
 	for _, l := range lines {
 		var names []string
--- a/cmd/eiderctl/explain_test.go
+++ b/cmd/eiderctl/explain_test.go
@@ -19,7 +19,8 @@
 const nodeTwoLog = `  12.5 two {"level":"info","ts":"2026-01-02T03:04:05.200Z","process_name":"two","msg":"attempt without a good answer","attempt":"x1","outcome":"broken"}
 `
 
-// TestExplain puts the lines of two nodes about one request in order.
+// TestExplain checks that the lines of two nodes about a request are printed in order
+// of time.
 func TestExplain(t *testing.T) {
 	dir := t.TempDir()
 	one, two := filepath.Join(dir, "one.log"), filepath.Join(dir, "two.log")
--- a/cmd/eiderctl/losses.go
+++ b/cmd/eiderctl/losses.go
@@ -7,37 +7,36 @@
 	"github.com/spf13/cobra"
 )
 
-// cause says why a request was not served in time.
+// cause is the reason why a request was not served in time, as shown in the tables.
 type cause string
 
-// Causes, as far as the logs tell. What an upstream did stands in its gate's line, so
-// the logs of all nodes are needed.
+// Causes that can be derived from the logs. The outcome of an attempt is logged by the
+// node beside the upstream, so the logs of all nodes are needed.
 const (
-	upstreamSilent  cause = "upstream silent"
-	upstreamErred   cause = "upstream erred"
-	upstreamBroke   cause = "upstream reset or cut"
-	upstreamShed    cause = "upstream shed"
-	callFailed      cause = "own call failed"
-	noSlot          cause = "no slot"
-	allOnTrial      cause = "gates on trial"
-	budgetSpent     cause = "repeat budget spent"
-	gateClosed      cause = "gates closed"
-	notReached      cause = "node or link lost"
-	noConfiguration cause = "no configuration"
-	overLimit       cause = "over the account's limit"
-	unconfirmed     cause = "limit unconfirmed"
-	endsUpstreams   cause = "upstreams end under it"
-	lateByQueue     cause = "late by queue"
-	lateByWork      cause = "late by work"
-	callerLeft      cause = "caller left"
-	incomplete      cause = "story incomplete"
+	upstreamUnresponsive cause = "upstream silent"
+	upstreamErred        cause = "upstream erred"
+	upstreamBroke        cause = "upstream reset or cut"
+	upstreamShed         cause = "upstream shed"
+	nestedFailed         cause = "own call failed"
+	noSlot               cause = "no slot"
+	gatesOnTrial         cause = "gates on trial"
+	budgetExhausted      cause = "repeat budget spent"
+	gateClosed           cause = "gates closed"
+	notReached           cause = "node or link lost"
+	noConfiguration      cause = "no configuration"
+	overAccountLimit     cause = "over the account's limit"
+	limitUnconfirmed     cause = "limit unconfirmed"
+	crashesUpstreams     cause = "upstreams end under it"
+	lateByQueue          cause = "late by queue"
+	lateByWork           cause = "late by work"
+	callerDisconnected   cause = "caller left"
+	incomplete           cause = "story incomplete"
 )
 
-// requestPrefix begins the message of a request's last line, attemptMessage is that
-// of a gate about an attempt.
+// Messages of the log lines that are read.
 const (
-	requestPrefix  = "request "
-	attemptMessage = "attempt without a good answer"
+	requestPrefix  = "request "                      // Prefix of the last line of a request.
+	attemptMessage = "attempt without a good answer" // A gate's line about a failed attempt.
 )
 
 // loss is a request that was not served in time.
@@ -46,20 +45,20 @@
 	cause cause
 }
 
-// losses collects what logs say of requests that were not served in time.
+// losses collects the log lines about requests that were not served in time.
 type losses struct {
 	requests []logLine
-	outcomes map[string]string // Of an attempt's latest run, by the request's id.
-	skipped  int               // Lines that are no log lines.
+	outcomes map[string]string // Outcome of the latest run, by the request's id (field attempt).
+	skipped  int               // Number of lines that are not log lines.
 }
 
 func lossesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "losses [FILE...]",
-		Short: "Say why requests were not served in time, by route and second, from the logs of all nodes",
+		Short: "Show why requests were not served in time, by route and second, from the logs of all nodes",
 		Long: "Reads structured logs of nodes from files, or from standard input, and attributes every\n" +
-			"request that failed, was late or was abandoned to its cause. Lines that are no log lines\n" +
-			"are skipped and counted; a request whose gate's line is missing is told as incomplete.",
+			"request that failed, was late or was abandoned to its cause. Lines that are not log lines\n" +
+			"are skipped and counted; a request whose gate's line is missing is reported as incomplete.",
 		Example: "  eiderctl losses node-*.log",
 		RunE: func(c *cobra.Command, args []string) error {
 			l := &losses{outcomes: map[string]string{}}
@@ -71,18 +70,18 @@
 	}
 }
 
-// read takes one line of a log; what is no log line is counted.
+// read parses a line and adds it. Lines that are not log lines are counted.
 func (l *losses) read(text string) {
 	line, ok := parseLine(text)
 	if !ok {
 		l.skipped++
 		return
 	}
-	l.take(line)
+	l.add(line)
 }
 
-// take keeps a line about a request that was not served in time, or about an attempt.
-func (l *losses) take(line logLine) {
+// add stores a line about a request that was not served in time, or about an attempt.
+func (l *losses) add(line logLine) {
 	switch {
 	case line.message == attemptMessage:
 		l.outcomes[line.text("attempt")] = line.text("outcome")
@@ -91,20 +90,21 @@
 	}
 }
 
-// attribute returns the losses in the order of time.
+// attribute returns the losses with their causes, in order of time.
 func (l *losses) attribute() []loss {
 	slices.SortStableFunc(l.requests, func(a, b logLine) int { return strings.Compare(a.time, b.time) })
 	var out []loss
 	for _, r := range l.requests {
 		if status, _ := r.rest["status"].(float64); status >= 400 && status < 500 && r.text("result") != "over-limit" {
-			continue // What it asks for is not there, or who asks is not known: nothing was lost.
+			continue // The request itself was wrong, such as an unknown key or route.
 		}
 		out = append(out, loss{line: r, cause: l.causeOf(r)})
 	}
 	return out
 }
 
-// causeOf reads a request's last line, and its gate's where that decides.
+// causeOf returns the cause of a request's loss from its last line and, where needed,
+// from the gate's line about its attempt.
 func (l *losses) causeOf(r logLine) cause {
 	own, _ := r.rest["own"].(bool)
 	runs, _ := r.rest["runs"].(float64)
@@ -112,7 +112,7 @@
 	case r.message == requestPrefix+"late":
 		return lateness(r)
 	case r.message == requestPrefix+"abandoned" && runs == 0:
-		return callerLeft
+		return callerDisconnected
 	case own && runs == 0:
 		return refusal(r)
 	default:
@@ -120,7 +120,7 @@
 	}
 }
 
-// lateness tells whether a late request waited for most of its time or ran for it.
+// lateness returns whether a late request spent most of its time queued or running.
 func lateness(r logLine) cause {
 	waited, _ := r.rest["waited"].(float64)
 	took, _ := r.rest["took"].(float64)
@@ -130,25 +130,25 @@
 	return lateByWork
 }
 
-// refusal reads why a request that never ran was refused.
+// refusal returns why a request was refused before any attempt ran.
 func refusal(r logLine) cause {
 	switch r.text("result") {
 	case "no-configuration":
 		return noConfiguration
 	case "over-limit":
-		return overLimit
+		return overAccountLimit
 	case "limit-unconfirmed":
-		return unconfirmed
+		return limitUnconfirmed
 	case "quarantined":
-		return endsUpstreams
+		return crashesUpstreams
 	}
 	switch r.text("refused") {
 	case "trial":
-		return allOnTrial
+		return gatesOnTrial
 	case "busy", "expired":
 		return noSlot
 	case "budget":
-		return budgetSpent
+		return budgetExhausted
 	case "closed", "misdirected":
 		return gateClosed
 	case "shed":
@@ -156,14 +156,14 @@
 	case "not-connected", "never-seen":
 		return notReached
 	default:
-		return noSlot // No gate was asked: all were known to be full.
+		return noSlot // No offer was made: by their last status, all gates were full.
 	}
 }
 
-// outcome reads what became of a request that ran.
+// outcome returns the cause of a request that had at least one attempt.
 func (l *losses) outcome(r logLine) cause {
 	if r.text("refused") == "budget" {
-		return budgetSpent
+		return budgetExhausted
 	}
 	doubt := r.text("doubt")
 	if strings.Contains(doubt, "the link to") || strings.Contains(doubt, "has been restarted") {
@@ -171,11 +171,11 @@
 	}
 	switch l.outcomes[r.text("attempt")] {
 	case "no-evidence":
-		return upstreamSilent
+		return upstreamUnresponsive
 	case "erred":
 		return upstreamErred
 	case "call-failed":
-		return callFailed
+		return nestedFailed
 	case "broken", "unreached", "replaced":
 		return upstreamBroke
 	case "shed":
@@ -185,16 +185,16 @@
 	}
 }
 
-// unexplained is the cause where no gate wrote a line: a caller that left an order which
-// ended well is no gap in the logs.
+// unexplained returns the cause if no gate logged the attempt. If the caller left, the
+// attempt may have succeeded, so no line is missing.
 func (l *losses) unexplained(r logLine) cause {
 	if r.message == requestPrefix+"abandoned" {
-		return callerLeft
+		return callerDisconnected
 	}
 	return incomplete
 }
 
-// text returns a field of a line, "" where it is none of text.
+// text returns a text field of a line, or "" if there is none of this name.
 func (l logLine) text(field string) string {
 	value, _ := l.rest[field].(string)
 	return value
--- a/cmd/eiderctl/losses_test.go
+++ b/cmd/eiderctl/losses_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLosses attributes one request to each cause, whichever node's line comes first; in
-// accounts.log, what was refused for its account, and what is no loss; in held.log, what was
-// held because upstreams end under it.
+// TestLosses checks the causes in losses.log, in any order of the nodes' lines; in
+// accounts.log, those of account limits, and client errors that are no losses; in
+// held.log, that of a quarantined request.
 func TestLosses(t *testing.T) {
 	for _, name := range []string{"losses", "accounts", "held"} {
 		var out bytes.Buffer
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestLossesOfNoFile names the file that cannot be read.
-func TestLossesOfNoFile(t *testing.T) {
+// TestLossesOfMissingFile checks that the error names the file.
+func TestLossesOfMissingFile(t *testing.T) {
 	command := lossesCommand()
 	command.SilenceUsage = true
 	command.SilenceErrors = true
--- a/cmd/eiderctl/losstable.go
+++ b/cmd/eiderctl/losstable.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// secondLength is how much of a line's time, RFC 3339 in UTC, names its second.
+	// secondLength is the length of the prefix of an RFC 3339 time up to the seconds.
 	secondLength = len("2006-01-02T15:04:05")
-	// plotWidth is how wide the bar of the worst second is.
+	// plotWidth is the width of the longest bar, in characters.
 	plotWidth = 50
 )
 
-// tally counts losses by a name and a cause.
+// tally holds the number of losses by name (a route or second) and cause.
 type tally map[string]map[cause]int
 
 func (t tally) add(name string, c cause) {
@@ -27,7 +27,8 @@
 	t[name][c]++
 }
 
-// print writes a table by route, one by second with a plot, and what was left out.
+// print writes a table of causes by route, a bar chart by second, and the numbers of
+// incomplete and skipped entries.
 func (l *losses) print(out io.Writer) error {
 	routes, seconds, total := tally{}, tally{}, tally{}
 	all := l.attribute()
@@ -57,7 +58,7 @@
 	return errors.Wrap(err, "write")
 }
 
-// names returns the tally's names, in order.
+// names returns the sorted names.
 func (t tally) names() []string {
 	var names []string
 	for name := range t {
@@ -67,7 +68,7 @@
 	return names
 }
 
-// causes returns the causes of a name, the most frequent first.
+// causes returns the causes counted for a name, most frequent first.
 func (t tally) causes(name string) []string {
 	var list []string
 	for c := range t[name] {
@@ -90,7 +91,7 @@
 	return strings.Join(out, "\t")
 }
 
-// plot draws a bar for each second, and names its most frequent cause.
+// plot draws a bar for each name, followed by its most frequent cause.
 func (t tally) plot(out io.Writer) error {
 	most := 1
 	for name := range t {
--- a/cmd/eiderctl/main.go
+++ b/cmd/eiderctl/main.go
@@ -10,7 +10,8 @@
 //	eiderctl status
 //
 // Exit codes: 0 done, 1 other errors, 2 wrong usage, 3 document refused,
-// 4 conflict, 5 forbidden, 6 missing, 7 store unavailable, 8 not in force in time.
+// 4 conflict, 5 forbidden, 6 missing, 7 store unavailable, 8 accepted but not in force
+// before the timeout.
 package main
 
 import (
@@ -39,7 +40,7 @@
 	exitNotInForce  = 8
 )
 
-// exitError is an error with its exit code.
+// exitError is an error with the exit code of the process.
 type exitError struct {
 	error
 	code int
@@ -77,7 +78,8 @@
 	}
 }
 
-// describe prints both sides of a conflict as a difference.
+// describe returns the text of an error. For a conflict it includes a diff of the two
+// sides.
 func describe(err error) string {
 	var f *adminapi.Fault
 	if !errors.As(err, &f) {
@@ -94,23 +96,23 @@
 	o := &options{}
 	c := &cobra.Command{
 		Use:           "eiderctl",
-		Short:         "Publish templates and client accounts, and see what is in force",
+		Short:         "Publish templates and client accounts, and show what is in force",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	flags := c.PersistentFlags()
-	flags.StringVar(&o.address, "address", environment("EIDERCTL_ADDRESS", "http://127.0.0.1:8081"), "URL of any node's admin API (EIDERCTL_ADDRESS)")
+	flags.StringVar(&o.address, "address", envOr("EIDERCTL_ADDRESS", "http://127.0.0.1:8081"), "URL of any node's admin API (EIDERCTL_ADDRESS)")
 	flags.StringVar(&o.token, "token", os.Getenv("EIDERCTL_TOKEN"), "your team's token (EIDERCTL_TOKEN)")
-	flags.StringVar(&o.authority, "authority", os.Getenv("EIDERCTL_AUTHORITY"), "PEM file of the authority that signed the nodes' keys")
+	flags.StringVar(&o.authority, "authority", os.Getenv("EIDERCTL_AUTHORITY"), "PEM file of the authority that signed the nodes' certificates")
 	flags.StringVarP(&o.output, "output", "o", "table", "table, json or yaml")
 	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &exitError{err, exitUsage} })
 	c.AddCommand(explainCommand(), lossesCommand(), templateCommand(o), accountCommand(o), validateCommand(), statusCommand(o), dumpCommand(o))
 	return c
 }
 
-func environment(name, standard string) string {
+func envOr(name, fallback string) string {
 	if value := os.Getenv(name); value != "" {
 		return value
 	}
-	return standard
+	return fallback
 }
--- a/cmd/eiderctl/output.go
+++ b/cmd/eiderctl/output.go
@@ -17,14 +17,14 @@
 	diffContext = 3
 )
 
-// table is something to print: rows for people, value for programs.
+// table is the output of a command: rows for the table format, value for JSON and YAML.
 type table struct {
 	header []string
 	rows   [][]string
 	value  any
 }
 
-// print writes a table as the flag says.
+// print writes a table in the format of the output flag.
 func (o *options) print(w io.Writer, t table) error {
 	switch o.output {
 	case "json":
@@ -52,7 +52,7 @@
 	}
 }
 
-// difference shows what b changes in a.
+// difference returns a unified diff from a to b.
 func difference(nameA, a, nameB, b string) string {
 	text, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
 		A: difflib.SplitLines(a), FromFile: nameA,
--- a/cmd/eiderctl/status.go
+++ b/cmd/eiderctl/status.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	waitPause    = 100 * time.Millisecond
-	standardWait = 10 * time.Second
+	pollInterval       = 100 * time.Millisecond
+	defaultWaitTimeout = 10 * time.Second
 )
 
 func statusCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show what is in force on which node, and who lags",
+		Short: "Show which sequences are in force on each node, and which nodes lag",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			client, err := o.client()
@@ -58,7 +58,7 @@
 	return &cobra.Command{
 		Use:     "dump [NODE]",
 		Short:   "Print the decision state of a node",
-		Long:    "Print the decision state of a node. NODE is the URL of its admin API; without it, --address counts.",
+		Long:    "Print the decision state of a node. NODE is the URL of its admin API; without it, --address is used.",
 		Example: "  eiderctl dump http://10.0.0.2:8081 -o yaml",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, arguments []string) error {
@@ -81,51 +81,53 @@
 	}
 }
 
-// waiting is the flags of commands that can wait for a change to be in force.
-type waiting struct {
-	on    *bool
-	limit *time.Duration
+// waitOptions holds the flags of commands that can wait until a change is in force.
+type waitOptions struct {
+	enabled *bool
+	timeout *time.Duration
 }
 
-func waitFlags(c *cobra.Command) *waiting {
-	return &waiting{
-		on:    c.Flags().Bool("wait", false, "wait until the change is in force on every live node"),
-		limit: c.Flags().Duration("timeout", standardWait, "how long to wait"),
+func waitFlags(c *cobra.Command) *waitOptions {
+	return &waitOptions{
+		enabled: c.Flags().Bool("wait", false, "wait until the change is in force on every live node"),
+		timeout: c.Flags().Duration("timeout", defaultWaitTimeout, "how long to wait"),
 	}
 }
 
-// until waits, with a progress line on standard error.
-func (w *waiting) until(c *cobra.Command, o *options, client *adminapi.Client, r *adminapi.Revision) error {
-	if !*w.on {
+// until waits until a change is in force on all live nodes, or fails at the timeout. It
+// shows the progress on standard error.
+func (w *waitOptions) until(c *cobra.Command, o *options, client *adminapi.Client, r *adminapi.Revision) error {
+	if !*w.enabled {
 		return nil
 	}
-	deadline := time.Now().Add(*w.limit)
+	deadline := time.Now().Add(*w.timeout)
 	for {
 		states, err := client.Status(c.Context(), &adminapi.StatusPayload{Token: o.bearer()})
 		if err != nil {
 			return err
 		}
-		there, all := inForce(states, r)
-		if _, err := fmt.Fprintf(c.ErrOrStderr(), "\rin force on %d of %d nodes", there, all); err != nil {
+		applied, all := inForce(states, r)
+		if _, err := fmt.Fprintf(c.ErrOrStderr(), "\rin force on %d of %d nodes", applied, all); err != nil {
 			return err
 		}
-		if there == all && all > 0 {
+		if applied == all && all > 0 {
 			_, err := fmt.Fprintln(c.ErrOrStderr())
 			return err
 		}
 		if time.Now().After(deadline) {
-			return &exitError{errors.Errorf("\nsequence %d is accepted, and in force on %d of %d nodes only", r.Sequence, there, all), exitNotInForce}
+			return &exitError{errors.Errorf("\nsequence %d is accepted, and in force on %d of %d nodes only", r.Sequence, applied, all), exitNotInForce}
 		}
 		select {
-		case <-time.After(waitPause):
+		case <-time.After(pollInterval):
 		case <-c.Context().Done():
 			return c.Context().Err()
 		}
 	}
 }
 
-// inForce counts the live nodes that hold a change, and all live nodes.
-func inForce(states []*adminapi.ShardState, r *adminapi.Revision) (there, all int) {
+// inForce returns the number of reachable nodes with a change in force, and the number
+// of all reachable nodes.
+func inForce(states []*adminapi.ShardState, r *adminapi.Revision) (applied, all int) {
 	nodes := map[string]bool{}
 	for _, s := range states {
 		if !s.Reachable {
@@ -133,10 +135,10 @@
 		}
 		nodes[s.Node] = nodes[s.Node] || s.Shard == r.Shard && s.Sequence >= r.Sequence
 	}
-	for _, held := range nodes {
-		if held {
-			there++
+	for _, hasChange := range nodes {
+		if hasChange {
+			applied++
 		}
 	}
-	return there, len(nodes)
+	return applied, len(nodes)
 }
--- a/cmd/eiderctl/template.go
+++ b/cmd/eiderctl/template.go
@@ -18,7 +18,7 @@
 	return c
 }
 
-// readTemplate reads and checks a file before anything is sent.
+// readTemplate reads and validates a template file.
 func readTemplate(path string) (*config.Template, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -60,8 +60,8 @@
 		Example: "  eiderctl template publish montevideo.yaml --wait\n  eiderctl template publish montevideo.yaml --base 12",
 		Args:    cobra.ExactArgs(1),
 	}
-	base := c.Flags().Uint64("base", 0, "refuse if another sequence than this is in force")
-	id := c.Flags().String("publish-id", "", "repeat a publish whose answer was lost")
+	base := c.Flags().Uint64("base", 0, "refuse the change unless this sequence is in force")
+	id := c.Flags().String("publish-id", "", "repeat the publish with this id, whose response was lost")
 	wait := waitFlags(c)
 	c.RunE = func(c *cobra.Command, arguments []string) error {
 		t, err := readTemplate(arguments[0])
@@ -75,7 +75,7 @@
 	return c
 }
 
-func publish(c *cobra.Command, o *options, wait *waiting, p *adminapi.PublishTemplatePayload) error {
+func publish(c *cobra.Command, o *options, wait *waitOptions, p *adminapi.PublishTemplatePayload) error {
 	client, err := o.client()
 	if err != nil {
 		return err
@@ -94,7 +94,7 @@
 	return wait.until(c, o, client, r)
 }
 
-// revisions makes a table of changes.
+// revisions returns a table of changes.
 func revisions(list []*adminapi.Revision) table {
 	t := table{header: []string{"TEMPLATE", "ACCOUNT", "SEQUENCE", "PUBLISHER", "PUBLISH ID"}, value: list}
 	for _, r := range list {
@@ -204,7 +204,7 @@
 	c.RunE = func(c *cobra.Command, arguments []string) error {
 		sequence, err := strconv.ParseUint(arguments[1], 10, 64)
 		if err != nil {
-			return &exitError{errors.Errorf("%q is no sequence", arguments[1]), exitUsage}
+			return &exitError{errors.Errorf("%q is not a sequence number", arguments[1]), exitUsage}
 		}
 		_, list, err := history(c, o, arguments[0])
 		if err != nil {
--- a/cmd/eiderfold/dev.go
+++ b/cmd/eiderfold/dev.go
@@ -30,16 +30,17 @@
 var sampleTemplate string
 
 const (
-	sampleName       = "montevideo"
-	sampleAccount    = "oficina-07"
-	sampleToken      = "sample-token-for-dev"
-	sampleDataCentre = "sede-central"
-	sampleWork       = 2 * time.Millisecond
-	readyTimeout     = 20 * time.Second
-	readyPause       = 50 * time.Millisecond
+	sampleName        = "montevideo"
+	sampleAccount     = "oficina-07"
+	sampleToken       = "sample-token-for-dev"
+	sampleDataCentre  = "sede-central"
+	sampleDelay       = 2 * time.Millisecond
+	readyTimeout      = 20 * time.Second
+	readyPollInterval = 50 * time.Millisecond
 )
 
-// devCommand runs a node with everything around it in one process.
+// devCommand returns the command that runs a node, an in-memory platform and sample
+// upstreams in one process.
 func devCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "dev",
@@ -49,7 +50,7 @@
 	callers := c.Flags().String("callers", "127.0.0.1:8080", "IP:port for callers")
 	operators := c.Flags().String("admin", "127.0.0.1:8081", "IP:port of the admin API")
 	peers := c.Flags().String("peers", "127.0.0.1:7400", "IP:port for other nodes")
-	level := c.Flags().String("log", "warn", "least level that is logged")
+	level := c.Flags().String("log", "warn", "minimum log level")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		return dev(c, devPorts{callers: *callers, admin: *operators, peers: *peers, level: *level})
 	}
@@ -84,8 +85,8 @@
 	return n.Run(c.Context(), api.Handler(), nil)
 }
 
-// devSettings makes settings with fresh keys. They take the way through a file
-// that every node's settings take, so that dev shows what it runs with.
+// devSettings returns settings with newly generated keys. They are loaded from a
+// file, like those of any node, so that they are validated the same way.
 func devSettings(ports devPorts) (*settings.Settings, *keys.Material, error) {
 	authority, err := keys.NewAuthority("dev")
 	if err != nil {
@@ -108,12 +109,12 @@
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "settings")
 	}
-	folder, err := os.MkdirTemp("", "eiderfold-dev")
+	dir, err := os.MkdirTemp("", "eiderfold-dev")
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "settings")
 	}
-	defer os.RemoveAll(folder) //nolint:errcheck // A leftover in the temporary folder does no harm.
-	path := filepath.Join(folder, "settings.yaml")
+	defer os.RemoveAll(dir) //nolint:errcheck // A leftover in the temporary directory is harmless.
+	path := filepath.Join(dir, "settings.yaml")
 	if err := os.WriteFile(path, text, privateMode); err != nil {
 		return nil, nil, errors.Wrap(err, "settings")
 	}
@@ -125,7 +126,7 @@
 	return s, material, err
 }
 
-// sampleUpstreams starts three small upstreams for each service of the sample.
+// sampleUpstreams starts three upstreams for each service of the sample template.
 func sampleUpstreams(ctx context.Context, list *memory.List) error {
 	for _, service := range []string{"certificados", "inscripciones"} {
 		for i := 1; i <= 3; i++ {
@@ -145,16 +146,16 @@
 
 func sampleUpstream(name string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(sampleWork)
+		time.Sleep(sampleDelay)
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return // The caller broke off; there is nobody to answer.
+			return // The caller disconnected.
 		}
-		fmt.Fprintf(w, "%s did %s %s for %s %s\n", name, r.Method, r.URL.Path, r.Header.Get("Eiderfold-Account"), body) //nolint:errcheck // The caller may be gone.
+		fmt.Fprintf(w, "%s did %s %s for %s %s\n", name, r.Method, r.URL.Path, r.Header.Get("Eiderfold-Account"), body) //nolint:errcheck // The caller may have disconnected.
 	})
 }
 
-// publishSample puts the sample into the store as a publish would.
+// publishSample writes the sample template and account to the store.
 func publishSample(ctx context.Context, store port.Store) error {
 	if _, err := config.ParseTemplate("sample.yaml", []byte(sampleTemplate)); err != nil {
 		return err
@@ -178,19 +179,20 @@
 	return nil
 }
 
-// announce prints lines to try as soon as a request is answered.
+// announce prints example commands once the node serves requests, or after
+// readyTimeout.
 func announce(c *cobra.Command, ports devPorts) {
 	lookup := "http://" + ports.callers + "/" + sampleAccount + "/births/118"
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && c.Context().Err() == nil {
-		answer, err := http.Get(lookup)
+		response, err := http.Get(lookup)
 		if err == nil {
-			_ = answer.Body.Close()
-			if answer.StatusCode == http.StatusOK {
+			_ = response.Body.Close()
+			if response.StatusCode == http.StatusOK {
 				break
 			}
 		}
-		time.Sleep(readyPause)
+		time.Sleep(readyPollInterval)
 	}
 	lines := []string{
 		"ready; try:",
@@ -199,5 +201,5 @@
 		"  curl -H 'Authorization: Bearer " + sampleToken + "' http://" + ports.admin + "/v1/templates",
 		"  curl -H 'Authorization: Bearer " + sampleToken + "' http://" + ports.admin + "/v1/dump",
 	}
-	fmt.Fprintln(c.OutOrStdout(), strings.Join(lines, "\n")) //nolint:errcheck // Nobody may be reading.
+	fmt.Fprintln(c.OutOrStdout(), strings.Join(lines, "\n")) //nolint:errcheck // Standard output may be closed.
 }
--- a/cmd/eiderfold/keys.go
+++ b/cmd/eiderfold/keys.go
@@ -17,7 +17,7 @@
 )
 
 func keysCommand() *cobra.Command {
-	c := &cobra.Command{Use: "keys", Short: "Make the keys of a fleet"}
+	c := &cobra.Command{Use: "keys", Short: "Create the keys of a fleet"}
 	c.AddCommand(authorityCommand(), nodeKeyCommand())
 	return c
 }
@@ -25,12 +25,12 @@
 func authorityCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:     "authority",
-		Short:   "Make a certificate authority",
+		Short:   "Create a certificate authority",
 		Example: "  eiderfold keys authority --name montevideo --out ca",
 		Args:    cobra.NoArgs,
 	}
 	name := c.Flags().String("name", "eiderfold", "name of the fleet")
-	out := c.Flags().String("out", "ca", "path without suffix")
+	out := c.Flags().String("out", "ca", "path of the files, without suffix")
 	c.RunE = func(*cobra.Command, []string) error {
 		a, err := keys.NewAuthority(*name)
 		if err != nil {
@@ -44,14 +44,14 @@
 func nodeKeyCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:     "node",
-		Short:   "Make a node's certificate and key",
+		Short:   "Create a node's certificate and key",
 		Example: "  eiderfold keys node --authority ca --name node-1 --address 10.0.0.1 --out node-1",
 		Args:    cobra.NoArgs,
 	}
-	authority := c.Flags().String("authority", "ca", "path of the authority without suffix")
+	authority := c.Flags().String("authority", "ca", "path of the authority's files, without suffix")
 	name := c.Flags().String("name", "", "name of the node")
-	addresses := c.Flags().StringSlice("address", nil, "IP numbers that the node listens on")
-	out := c.Flags().String("out", "node", "path without suffix")
+	addresses := c.Flags().StringSlice("address", nil, "IP addresses that the node listens on")
+	out := c.Flags().String("out", "node", "path of the files, without suffix")
 	c.RunE = func(*cobra.Command, []string) error {
 		pair, err := read(*authority)
 		if err != nil {
@@ -67,7 +67,7 @@
 		}
 		return write(*out, issued)
 	}
-	_ = c.MarkFlagRequired("name") // It only fails for a flag that does not exist.
+	_ = c.MarkFlagRequired("name") // It fails only for an undefined flag.
 	return c
 }
 
--- a/cmd/eiderfold/log.go
+++ b/cmd/eiderfold/log.go
@@ -10,14 +10,15 @@
 	"eiderfold/mesh"
 )
 
-// Equal events of one second are logged this often in full, and then one in so
-// many: a decision that flaps must not fill the operators' logs.
+// Sampling of log lines with the same message: each second, the first logInFull are
+// logged, then one in logOneIn. It keeps flapping decisions from flooding the log.
 const (
 	logInFull = 20
 	logOneIn  = 100
 )
 
-// plainErrors writes errors as their text, without the stack that pkg/errors keeps.
+// plainErrors is a core that logs errors as their text, without the stack traces of
+// pkg/errors.
 type plainErrors struct{ zapcore.Core }
 
 // With implements zapcore.Core.
@@ -38,7 +39,7 @@
 	return c.Core.Write(e, plain(fields))
 }
 
-// plain returns the fields with the texts of their errors.
+// plain returns the fields with errors replaced by their texts.
 func plain(fields []zapcore.Field) []zapcore.Field {
 	out := make([]zapcore.Field, len(fields))
 	for i, f := range fields {
@@ -50,14 +51,14 @@
 	return out
 }
 
-// meshLogger logs JSON lines to standard output, sampled within each second and
-// never blocking.
+// meshLogger returns a logger that writes sampled JSON lines to standard output
+// without blocking, and a function that flushes and closes it.
 func meshLogger(level string, metrics *mesh.Metrics) (*zap.Logger, func(), error) {
-	least, err := zap.ParseAtomicLevel(level)
+	minLevel, err := zap.ParseAtomicLevel(level)
 	if err != nil {
 		return nil, nil, err
 	}
-	w := newLineWriter(os.Stdout, func() { metrics.Count("log_lines_dropped") })
+	w := newAsyncWriter(os.Stdout, func() { metrics.Count("log_lines_dropped") })
 	e := zap.NewProductionEncoderConfig()
 	e.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	e.StacktraceKey = zapcore.OmitKey
@@ -67,11 +68,11 @@
 			metrics.Count("log_lines_sampled_away")
 		}
 	}
-	core := zapcore.NewSamplerWithOptions(plainErrors{zapcore.NewCore(zapcore.NewJSONEncoder(e), w, least)}, time.Second, logInFull, logOneIn, zapcore.SamplerHook(sampled))
+	core := zapcore.NewSamplerWithOptions(plainErrors{zapcore.NewCore(zapcore.NewJSONEncoder(e), w, minLevel)}, time.Second, logInFull, logOneIn, zapcore.SamplerHook(sampled))
 	return zap.New(core), w.close, nil
 }
 
-// logger is the log of every command but mesh.
+// logger returns the logger of all commands except mesh.
 func logger(level, format string) (*zap.Logger, error) {
 	c := zap.NewProductionConfig()
 	c.Encoding = format
--- a/cmd/eiderfold/log_test.go
+++ b/cmd/eiderfold/log_test.go
@@ -12,32 +12,32 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// stalled is a reader of standard output that takes nothing until it is released.
-type stalled struct {
+// stalledWriter blocks every write until it is released.
+type stalledWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	text    bytes.Buffer
 }
 
-func (s *stalled) Write(b []byte) (int, error) {
+func (s *stalledWriter) Write(b []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(b)
 }
 
-// TestStalledOutputCostsLines writes more than is kept while nobody reads: it
-// never blocks, and what was lost is counted.
-func TestStalledOutputCostsLines(t *testing.T) {
-	out := &stalled{release: make(chan struct{})}
+// TestStalledOutputDropsLines writes more lines than the queue holds to a stalled
+// output: Write doesn't block, and dropped lines are counted.
+func TestStalledOutputDropsLines(t *testing.T) {
+	out := &stalledWriter{release: make(chan struct{})}
 	var dropped atomic.Int64
-	w := newLineWriter(out, func() { dropped.Add(1) })
-	const lines = 3 * linesKept
+	w := newAsyncWriter(out, func() { dropped.Add(1) })
+	const lines = 3 * maxQueuedLines
 	for range lines {
 		_, err := w.Write([]byte("line\n"))
 		assert.NoError(t, err)
 	}
-	assert.GreaterOrEqual(t, dropped.Load(), int64(lines-2*linesKept-1))
+	assert.GreaterOrEqual(t, dropped.Load(), int64(lines-2*maxQueuedLines-1))
 	close(out.release)
 	w.close()
 	out.mu.Lock()
@@ -45,7 +45,8 @@
 	assert.Equal(t, int64(lines), dropped.Load()+int64(bytes.Count(out.text.Bytes(), []byte("line\n"))))
 }
 
-// TestErrorsWithoutStacks logs an error of pkg/errors.
+// TestErrorsWithoutStacks checks that errors of pkg/errors are logged without their
+// stack traces.
 func TestErrorsWithoutStacks(t *testing.T) {
 	var out bytes.Buffer
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(&out), zap.InfoLevel)
--- a/cmd/eiderfold/main.go
+++ b/cmd/eiderfold/main.go
@@ -1,8 +1,8 @@
-// Command eiderfold is a node of the proxy fleet.
+// Command eiderfold runs a node of the proxy fleet.
 //
 // # Usage
 //
-//	eiderfold dev                      # everything in one process, to try it
+//	eiderfold dev                      # a node with sample upstreams, to try it
 //	eiderfold run --settings node.yaml # a node of a fleet
 //	eiderfold check --settings node.yaml
 //	eiderfold keys authority --out ca
@@ -24,7 +24,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	go func() {
 		<-ctx.Done()
-		stop() // A second signal ends the process at once.
+		stop() // A second signal terminates the process immediately.
 	}()
 	if err := root().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "eiderfold:", err)
--- a/cmd/eiderfold/mesh.go
+++ b/cmd/eiderfold/mesh.go
@@ -13,7 +13,8 @@
 	"eiderfold/settings"
 )
 
-// settingsVariable holds the path of the settings where the platform lays them.
+// settingsVariable is the environment variable in which the platform sets the path
+// of the settings file.
 const settingsVariable = "EIDERFOLD_BOOT"
 
 func meshCommand() *cobra.Command {
@@ -24,10 +25,10 @@
 		Args:    cobra.NoArgs,
 	}
 	path := c.Flags().StringP("settings", "s", os.Getenv(settingsVariable), "YAML file with the node's settings")
-	check := c.Flags().Bool("check", false, "check the settings and end")
+	check := c.Flags().Bool("check", false, "check the settings and exit")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		reloads := make(chan os.Signal, 1)
-		signal.Notify(reloads, syscall.SIGHUP) // Before anything else: unhandled, it ends the process.
+		signal.Notify(reloads, syscall.SIGHUP) // First of all: an unhandled SIGHUP terminates the process.
 		s, err := settings.LoadMesh(*path)
 		if err != nil {
 			return err
@@ -42,7 +43,7 @@
 }
 
 func runMesh(c *cobra.Command, path string, s *settings.Mesh, reloads <-chan os.Signal) error {
-	tuneCollector()
+	tuneGC()
 	metrics := mesh.NewMetrics()
 	log, flush, err := meshLogger(s.LogLevel(), metrics)
 	if err != nil {
@@ -52,6 +53,6 @@
 	store := platform.NewStore(s.Store(), func(call string) { metrics.Count("store_calls_" + call) })
 	log = log.With(zap.String("process_name", s.Node()))
 	n := mesh.New(s, platform.New(store), metrics, log)
-	go followSettings(c.Context(), path, reloads, n, log)
+	go watchSettings(c.Context(), path, reloads, n, log)
 	return n.Run(c.Context())
 }
--- a/cmd/eiderfold/reload.go
+++ b/cmd/eiderfold/reload.go
@@ -11,27 +11,27 @@
 	"eiderfold/settings"
 )
 
-// settingsEvery is the pace at which the settings file is looked at: it may change
-// without a signal.
-const settingsEvery = 2 * time.Second
+// pollInterval is the interval at which the settings file is checked for changes, as
+// it may change without a signal.
+const pollInterval = 2 * time.Second
 
-// followSettings reloads the settings on a signal and when the file has changed.
-// What cannot be read or is not valid leaves the old settings in use.
-func followSettings(ctx context.Context, path string, reloads <-chan os.Signal, n *mesh.Node, log *zap.Logger) {
-	t := time.NewTicker(settingsEvery)
+// watchSettings reloads the settings on a signal and when the file has changed. If
+// the file can't be read or is invalid, the current settings stay in use.
+func watchSettings(ctx context.Context, path string, reloads <-chan os.Signal, n *mesh.Node, log *zap.Logger) {
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
-	changed := modified(path)
+	lastModified := modified(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-reloads:
 		case <-t.C:
-			if now := modified(path); now.Equal(changed) {
+			if now := modified(path); now.Equal(lastModified) {
 				continue
 			}
 		}
-		changed = modified(path)
+		lastModified = modified(path)
 		s, err := settings.LoadMesh(path)
 		if err != nil {
 			log.Error("settings not reloaded; the old ones stay in use", zap.Error(err))
@@ -41,7 +41,8 @@
 	}
 }
 
-// modified returns when the file changed; zero if it cannot be looked at.
+// modified returns the modification time of a file, or the zero time if it can't be
+// read.
 func modified(path string) time.Time {
 	i, err := os.Stat(path)
 	if err != nil {
--- a/cmd/eiderfold/run.go
+++ b/cmd/eiderfold/run.go
@@ -13,7 +13,8 @@
 	"eiderfold/settings"
 )
 
-// settingsFlags adds --settings and a flag for every field that may be overridden.
+// settingsFlags adds --settings and a flag for each overridable field. It returns a
+// function that loads the settings.
 func settingsFlags(c *cobra.Command) func() (*settings.Settings, error) {
 	path := c.Flags().StringP("settings", "s", "", "YAML file with the node's settings")
 	values := map[string]*string{}
