--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,13 +1,13 @@
-// Package admin is the operators' API: it publishes templates and client accounts
-// into the store and shows what is in force.
+// Package admin implements the admin API: it publishes templates and client accounts
+// to the store and shows what is in force.
 //
 // # Usage
 //
-//	s := admin.New(node, store, list, settings.Teams(), logger)
+//	s := admin.New(node, store, settings.Teams(), logger)
 //	http.ListenAndServe("127.0.0.1:8081", s.Handler())
 //
-// A change is one compare-and-swap of one value of the store. It carries a publish
-// id, so that a change whose answer was lost is found again and never made twice.
+// A change is one compare-and-swap of a store value. It carries a publish id, so that
+// a change whose response was lost is found again and never applied twice.
 package admin
 
 import (
@@ -44,21 +44,22 @@
 	return &Service{node: n, store: store, teams: teams, log: log.Named("audit")}
 }
 
-// Handler returns the HTTP side: the API, and the metrics under /metrics.
+// Handler returns the HTTP handler of the API, and of the metrics under /metrics.
 func (s *Service) Handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	endpoints := adminapi.NewEndpoints(s)
 	server.Mount(mux, server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, nil))
 	mux.Handle(http.MethodGet, "/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write([]byte(s.node.Metrics().String())) // The reader may be gone.
+		_, _ = w.Write([]byte(s.node.Metrics().String())) // The client may have disconnected.
 	})
 	return mux
 }
 
 type teamKey struct{}
 
-// APIKeyAuth implements the generated Auther: it finds the team of a token.
+// APIKeyAuth implements the generated Auther. It adds the team of the token to the
+// context.
 func (s *Service) APIKeyAuth(ctx context.Context, key string, _ *security.APIKeyScheme) (context.Context, error) {
 	token := strings.TrimPrefix(key, "Bearer ")
 	for i := range s.teams {
@@ -69,14 +70,15 @@
 	return ctx, fault(result.Forbidden, "the token belongs to no team")
 }
 
-// teamOf returns the team of a call.
+// teamOf returns the team that APIKeyAuth added to the context, or nil.
 func teamOf(ctx context.Context) *settings.Team {
 	t, _ := ctx.Value(teamKey{}).(*settings.Team)
 	return t
 }
 
-// mayChange refuses a team that has no right to a template.
-func mayChange(ctx context.Context, template string) error {
+// authorizeChange returns an error if the team of the request may not change the
+// template.
+func authorizeChange(ctx context.Context, template string) error {
 	t := teamOf(ctx)
 	if t == nil || t.ReadOnly {
 		return fault(result.Forbidden, "the token may not change anything")
@@ -100,7 +102,7 @@
 	return &adminapi.Fault{Name: faultNames[c], Code: int(c), Message: message}
 }
 
-// storeFault turns an error of the store into what the operator is told.
+// storeFault returns the API error for an error of the store.
 func storeFault(err error) error {
 	switch {
 	case errors.Is(err, port.ErrMissing):
--- a/admin/publish.go
+++ b/admin/publish.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	publishTries = 6
-	publishPause = 50 * time.Millisecond
-	settleTries  = 5
+	maxPublishAttempts = 6
+	publishBackoff     = 50 * time.Millisecond
+	maxConfirmAttempts = 5
 )
 
-// edit changes a shard and returns the change it made.
-type edit func(s *config.Shard, c config.Change) (config.Change, error)
+// editFunc applies a change to a shard and returns it with its sequence.
+type editFunc func(s *config.Shard, c config.Change) (config.Change, error)
 
-// publish makes one change of one shard. Between its read and its write another
-// operator may have changed the shard: an edit with a base is refused then, and
-// any other is made again on top.
-func (s *Service) publish(ctx context.Context, key, publishID string, e edit) (config.Change, error) {
-	for try := range publishTries {
-		if try > 0 {
-			time.Sleep((publishPause << try) / 2)
+// publish applies an edit to a shard in the store, or returns the earlier change with
+// the same publish id. If another operator changes the shard at the same time, the edit
+// is applied again to the new value; it refuses if its base is no longer in force.
+func (s *Service) publish(ctx context.Context, key, publishID string, e editFunc) (config.Change, error) {
+	for attempt := range maxPublishAttempts {
+		if attempt > 0 {
+			time.Sleep((publishBackoff << attempt) / 2)
 		}
 		entry, shard, err := s.read(ctx, key)
 		if err != nil {
@@ -38,8 +38,8 @@
 		if done, ok := shard.Published(publishID); ok {
 			return done, nil
 		}
-		// A store that was restored from an old copy must not make newer changes
-		// look older than what nodes hold.
+		// After the store was restored from a backup, its sequence may be lower than
+		// that in force on the nodes, which would ignore the change.
 		shard.Sequence = max(shard.Sequence, s.node.Holder().Now().Sequences()[key])
 		change := config.Change{PublishID: publishID, Publisher: teamOf(ctx).Name, At: time.Now().UTC()}
 		change, err = e(shard, change)
@@ -51,7 +51,7 @@
 		}
 		swapped, err := s.store.CompareAndSwap(ctx, entry)
 		if errors.Is(err, port.ErrUnknown) {
-			swapped, err = s.settle(ctx, key, publishID)
+			swapped, err = s.confirm(ctx, key, publishID)
 		}
 		if err != nil {
 			return config.Change{}, storeFault(err)
@@ -62,16 +62,16 @@
 			return change, nil
 		}
 	}
-	return config.Change{}, fault(result.Conflict, "others change this value over and over; nothing was changed")
+	return config.Change{}, fault(result.Conflict, "the value keeps being changed concurrently; nothing was changed")
 }
 
-// settle finds out by reading back whether a change whose answer was lost took
-// effect. The publish id is remembered in the shard, so it is found also under
-// changes of others. False means that it did not, and now cannot any more: its
-// compare-and-swap is for a version that the next try replaces.
-func (s *Service) settle(ctx context.Context, key, publishID string) (bool, error) {
-	for range settleTries {
-		time.Sleep(publishPause)
+// confirm reads the shard back to find out whether a change whose response was lost
+// took effect. The shard stores recent publish ids, so the change is found even after
+// later ones. False means that it did not take effect. It can't do so later either, as
+// the next attempt replaces the version that its compare-and-swap expects.
+func (s *Service) confirm(ctx context.Context, key, publishID string) (bool, error) {
+	for range maxConfirmAttempts {
+		time.Sleep(publishBackoff)
 		if _, shard, err := s.read(ctx, key); err == nil {
 			_, ok := shard.Published(publishID)
 			return ok, nil
@@ -103,7 +103,7 @@
 		zap.String("publish_id", c.PublishID))
 }
 
-// conflict shows both sides of a refused change.
+// conflict returns the error of a change whose base is not in force, with both sides.
 func conflict(base, now uint64, ours, theirs string) error {
 	f := fault(result.Conflict, fmt.Sprintf("the change was made from sequence %d, and %d is in force; nothing was changed", base, now))
 	f.Ours, f.Theirs = &ours, &theirs
@@ -112,7 +112,7 @@
 
 // PublishTemplate implements the generated service.
 func (s *Service) PublishTemplate(ctx context.Context, p *adminapi.PublishTemplatePayload) (*adminapi.Revision, error) {
-	if err := mayChange(ctx, p.Template); err != nil {
+	if err := authorizeChange(ctx, p.Template); err != nil {
 		return nil, err
 	}
 	file := "template"
@@ -126,7 +126,7 @@
 	if t.Name() != p.Template {
 		return nil, fault(result.Invalid, fmt.Sprintf("%s:1: template: %q is published under the name %q", file, t.Name(), p.Template))
 	}
-	if err := s.accountsFit(ctx, t); err != nil {
+	if err := s.checkAccounts(ctx, t); err != nil {
 		return nil, err
 	}
 	key := config.TemplateKey(p.Template)
@@ -143,8 +143,9 @@
 	return revision(p.Template, "", key, change), nil
 }
 
-// accountsFit refuses a template that an account in force could not instantiate.
-func (s *Service) accountsFit(ctx context.Context, t *config.Template) error {
+// checkAccounts returns an error if an account in force would be invalid with the new
+// version of the template.
+func (s *Service) checkAccounts(ctx context.Context, t *config.Template) error {
 	for _, key := range config.AccountKeys(t.Name()) {
 		_, shard, err := s.read(ctx, key)
 		if err != nil {
@@ -152,7 +153,7 @@
 		}
 		for name, a := range shard.Accounts {
 			if _, err := t.Instantiate(name, a.Parameters); err != nil {
-				return fault(result.Invalid, "account "+name+" would no longer fit: "+err.Error())
+				return fault(result.Invalid, "account "+name+" would no longer be valid: "+err.Error())
 			}
 		}
 	}
@@ -161,7 +162,7 @@
 
 // SetAccount implements the generated service.
 func (s *Service) SetAccount(ctx context.Context, p *adminapi.SetAccountPayload) (*adminapi.Revision, error) {
-	if err := mayChange(ctx, p.Template); err != nil {
+	if err := authorizeChange(ctx, p.Template); err != nil {
 		return nil, err
 	}
 	_, shard, err := s.read(ctx, config.TemplateKey(p.Template))
@@ -195,7 +196,7 @@
 
 // RemoveAccount implements the generated service.
 func (s *Service) RemoveAccount(ctx context.Context, p *adminapi.RemoveAccountPayload) (*adminapi.Revision, error) {
-	if err := mayChange(ctx, p.Template); err != nil {
+	if err := authorizeChange(ctx, p.Template); err != nil {
 		return nil, err
 	}
 	key := config.AccountKey(p.Template, p.Account)
