--- a/design/design.go
+++ b/design/design.go
@@ -1,14 +1,14 @@
-// Package design describes the administration API of eiderfold in goa's
-// language. The code under gen is made from it and committed.
+// Package design defines the admin API of eiderfold in goa's design language. The
+// code in gen is generated from it and committed.
 //
 // # Usage
 //
-// After a change here run, in the module's root:
+// After a change, run in the root of the module:
 //
 //	go tool goa gen eiderfold/design
 package design
 
-import . "goa.design/goa/v3/dsl" //nolint:revive // goa's language is meant to be imported this way.
+import . "goa.design/goa/v3/dsl" //nolint:revive // The goa DSL is meant to be dot-imported.
 
 var _ = API("eiderfold", func() {
 	Title("Eiderfold administration")
@@ -21,10 +21,10 @@
 	Description("A team's bearer token; the settings say which templates it may change.")
 })
 
-// FaultBody is the body of every error of the API.
+// FaultBody is the response body of every error.
 var FaultBody = ResultType("application/vnd.eiderfold.fault", func() {
 	TypeName("Fault")
-	ErrorName("name", String, "Kind of the error.")
+	ErrorName("name", String, "Name of the error kind.")
 	Attributes(func() {
 		Attribute("name")
 		Attribute("code", Int, "Numbered result code, see docs/CODES.md.", func() { Example(40) })
@@ -35,41 +35,41 @@
 	})
 })
 
-// Revision says which change of a value is meant.
+// Revision identifies a published change of a template or account.
 var Revision = Type("Revision", func() {
 	Attribute("template", String, "Name of the template.")
 	Attribute("account", String, "Client account; empty for the template itself.")
 	Attribute("sequence", UInt64, "Sequence number of the shard that holds the value; grows with every change.")
-	Attribute("publish_id", String, "Identifier of the publish, chosen by the publisher.")
+	Attribute("publish_id", String, "Identifier of the change, chosen by the publisher.")
 	Attribute("publisher", String, "Team that published.")
-	Attribute("shard", String, "Store value that carries it.")
+	Attribute("shard", String, "Store key of the shard that holds the value.")
 	Required("template", "sequence", "publish_id", "publisher", "shard")
 })
 
-// Document is a published value with its revision.
+// Document is a published template or account with its revision.
 var Document = Type("Document", func() {
 	Attribute("revision", Revision)
 	Attribute("source", String, "YAML source as published.")
 	Required("revision", "source")
 })
 
-// ShardState is what one node holds of one shard.
+// ShardState is the state of a shard on a node.
 var ShardState = Type("ShardState", func() {
 	Attribute("node", String)
 	Attribute("shard", String)
 	Attribute("sequence", UInt64)
-	Attribute("reachable", Boolean, "False when the node did not answer; sequence is then the last one heard.")
+	Attribute("reachable", Boolean, "False if the node did not respond; sequence is then the last one received.")
 	Required("node", "shard", "sequence", "reachable")
 })
 
 var _ = Service("admin", func() {
 	Description("Templates, client accounts and the state of the fleet.")
 	Security(TeamToken)
-	Error("invalid", FaultBody, "The document is refused; what was in force stays.")
-	Error("conflict", FaultBody, "Somebody else changed the value first.")
+	Error("invalid", FaultBody, "The document is invalid; nothing was changed.")
+	Error("conflict", FaultBody, "The value was changed concurrently.")
 	Error("forbidden", FaultBody, "The token does not carry the right.")
-	Error("missing", FaultBody, "No such value.")
-	Error("unavailable", FaultBody, "The store does not answer; the message says whether the change may have taken effect.")
+	Error("missing", FaultBody, "The template or account does not exist.")
+	Error("unavailable", FaultBody, "The store does not respond; the message says whether the change may have taken effect.")
 	HTTP(func() {
 		Path("/v1")
 		Response("invalid", StatusUnprocessableEntity)
@@ -80,14 +80,14 @@
 	})
 
 	Method("publish_template", func() {
-		Description("Publishes a template. The base sequence makes a conflict visible.")
+		Description("Publishes a template. It is refused if base is set and is not the sequence in force.")
 		Payload(func() {
 			APIKey("token", "token", String)
 			Attribute("template", String)
 			Attribute("source", String, "YAML source.")
 			Attribute("file", String, "Name of the file, for error messages.")
-			Attribute("publish_id", String, "Identifier chosen by the publisher; the same one again is the same change.")
-			Attribute("base", UInt64, "Sequence the change was made from; 0 for whatever is in force.")
+			Attribute("publish_id", String, "Identifier chosen by the publisher; repeating it has no further effect.")
+			Attribute("base", UInt64, "Sequence that the change is based on; 0 for any.")
 			Required("template", "source", "publish_id")
 		})
 		Result(Revision)
@@ -181,7 +181,7 @@
 		HTTP(func() { GET("/status"); Header("token:Authorization"); Response(StatusOK) })
 	})
 	Method("dump", func() {
-		Description("Dumps the whole decision state of this node.")
+		Description("Dumps the decision state of this node.")
 		Payload(func() { APIKey("token", "token", String) })
 		Result(Any)
 		HTTP(func() { GET("/dump"); Header("token:Authorization"); Response(StatusOK) })
--- a/gen/admin/client.go
+++ b/gen/admin/client.go
@@ -45,11 +45,11 @@
 
 // PublishTemplate calls the "publish_template" endpoint of the "admin" service.
 // PublishTemplate may return the following errors:
-//   - "invalid" (type *Fault): The document is refused; what was in force stays.
-//   - "conflict" (type *Fault): Somebody else changed the value first.
+//   - "invalid" (type *Fault): The document is invalid; nothing was changed.
+//   - "conflict" (type *Fault): The value was changed concurrently.
 //   - "forbidden" (type *Fault): The token does not carry the right.
-//   - "missing" (type *Fault): No such value.
-//   - "unavailable" (type *Fault): The store does not answer; the message says whether the change may have taken effect.
+//   - "missing" (type *Fault): The template or account does not exist.
+//   - "unavailable" (type *Fault): The store does not respond; the message says whether the change may have taken effect.
 //   - error: internal error
 func (c *Client) PublishTemplate(ctx context.Context, p *PublishTemplatePayload) (res *Revision, err error) {
 	var ires any
@@ -62,11 +62,11 @@
 
 // ListTemplates calls the "list_templates" endpoint of the "admin" service.
 // ListTemplates may return the following errors:
-//   - "invalid" (type *Fault): The document is refused; what was in force stays.
-//   - "conflict" (type *Fault): Somebody else changed the value first.
+//   - "invalid" (type *Fault): The document is invalid; nothing was changed.
+//   - "conflict" (type *Fault): The value was changed concurrently.
 //   - "forbidden" (type *Fault): The token does not carry the right.
-//   - "missing" (type *Fault): No such value.
-//   - "unavailable" (type *Fault): The store does not answer; the message says whether the change may have taken effect.
+//   - "missing" (type *Fault): The template or account does not exist.
+//   - "unavailable" (type *Fault): The store does not respond; the message says whether the change may have taken effect.
 //   - error: internal error
 func (c *Client) ListTemplates(ctx context.Context, p *ListTemplatesPayload) (res []*Revision, err error) {
 	var ires any
@@ -79,11 +79,11 @@
 
 // ShowTemplate calls the "show_template" endpoint of the "admin" service.
 // ShowTemplate may return the following errors:
-//   - "invalid" (type *Fault): The document is refused; what was in force stays.
-//   - "conflict" (type *Fault): Somebody else changed the value first.
+//   - "invalid" (type *Fault): The document is invalid; nothing was changed.
+//   - "conflict" (type *Fault): The value was changed concurrently.
 //   - "forbidden" (type *Fault): The token does not carry the right.
-//   - "missing" (type *Fault): No such value.
-//   - "unavailable" (type *Fault): The store does not answer; the message says whether the change may have taken effect.
+//   - "missing" (type *Fault): The template or account does not exist.
+//   - "unavailable" (type *Fault): The store does not respond; the message says whether the change may have taken effect.
 //   - error: internal error
 func (c *Client) ShowTemplate(ctx context.Context, p *ShowTemplatePayload) (res *Document, err error) {
 	var ires any
@@ -96,11 +96,11 @@
 
 // TemplateHistory calls the "template_history" endpoint of the "admin" service.
 // TemplateHistory may return the following errors:
-//   - "invalid" (type *Fault): The document is refused; what was in force stays.
-//   - "conflict" (type *Fault): Somebody else changed the value first.
+//   - "invalid" (type *Fault): The document is invalid; nothing was changed.
+//   - "conflict" (type *Fault): The value was changed concurrently.
 //   - "forbidden" (type *Fault): The token does not carry the right.
-//   - "missing" (type *Fault): No such value.
-//   - "unavailable" (type *Fault): The store does not answer; the message says whether the change may have taken effect.
+//   - "missing" (type *Fault): The template or account does not exist.
+//   - "unavailable" (type *Fault): The store does not respond; the message says whether the change may have taken effect.
 //   - error: internal error
 func (c *Client) TemplateHistory(ctx context.Context, p *TemplateHistoryPayload) (res []*Document, err error) {
 	var ires any
@@ -113,11 +113,11 @@
 
 // SetAccount calls the "set_account" endpoint of the "admin" service.
 // SetAccount may return the following errors:
-//   - "invalid" (type *Fault): The document is refused; what was in force stays.
-//   - "conflict" (type *Fault): Somebody else changed the value first.
+//   - "invalid" (type *Fault): The document is invalid; nothing was changed.
+//   - "conflict" (type *Fault): The value was changed concurrently.
 //   - "forbidden" (type *Fault): The token does not carry the right.
-//   - "missing" (type *Fault): No such value.
-//   - "unavailable" (type *Fault): The store does not answer; the message says whether the change may have taken effect.
+//   - "missing" (type *Fault): The template or account does not exist.
+//   - "unavailable" (type *Fault): The store does not respond; the message says whether the change may have taken effect.
 //   - error: internal error
 func (c *Client) SetAccount(ctx context.Context, p *SetAccountPayload) (res *Revision, err error) {
 	var ires any
@@ -130,11 +130,11 @@
 
 // RemoveAccount calls the "remove_account" endpoint of the "admin" service.
 // RemoveAccount may return the following errors:
-//   - "invalid" (type *Fault): The document is refused; what was in force stays.
-//   - "conflict" (type *Fault): Somebody else changed the value first.
+//   - "invalid" (type *Fault): The document is invalid; nothing was changed.
+//   - "conflict" (type *Fault): The value was changed concurrently.
 //   - "forbidden" (type *Fault): The token does not carry the right.
-//   - "missing" (type *Fault): No such value.
-//   - "unavailable" (type *Fault): The store does not answer; the message says whether the change may have taken effect.
+//   - "missing" (type *Fault): The template or account does not exist.
+//   - "unavailable" (type *Fault): The store does not respond; the message says whether the change may have taken effect.
 //   - error: internal error
 func (c *Client) RemoveAccount(ctx context.Context, p *RemoveAccountPayload) (res *Revision, err error) {
 	var ires any
@@ -147,11 +147,11 @@
 
 // ShowAccount calls the "show_account" endpoint of the "admin" service.
 // ShowAccount may return the following errors:
-//   - "invalid" (type *Fault): The document is refused; what was in force stays.
-//   - "conflict" (type *Fault): Somebody else changed the value first.
+//   - "invalid" (type *Fault): The document is invalid; nothing was changed.
+//   - "conflict" (type *Fault): The value was changed concurrently.
 //   - "forbidden" (type *Fault): The token does not carry the right.
-//   - "missing" (type *Fault): No such value.
-//   - "unavailable" (type *Fault): The store does not answer; the message says whether the change may have taken effect.
+//   - "missing" (type *Fault): The template or account does not exist.
+//   - "unavailable" (type *Fault): The store does not respond; the message says whether the change may have taken effect.
 //   - error: internal error
 func (c *Client) ShowAccount(ctx context.Context, p *ShowAccountPayload) (res *Document, err error) {
 	var ires any
@@ -164,11 +164,11 @@
 
 // ListAccounts calls the "list_accounts" endpoint of the "admin" service.
 // ListAccounts may return the following errors:
-//   - "invalid" (type *Fault): The document is refused; what was in force stays.
-//   - "conflict" (type *Fault): Somebody else changed the value first.
+//   - "invalid" (type *Fault): The document is invalid; nothing was changed.
+//   - "conflict" (type *Fault): The value was changed concurrently.
 //   - "forbidden" (type *Fault): The token does not carry the right.
-//   - "missing" (type *Fault): No such value.
-//   - "unavailable" (type *Fault): The store does not answer; the message says whether the change may have taken effect.
+//   - "missing" (type *Fault): The template or account does not exist.
+//   - "unavailable" (type *Fault): The store does not respond; the message says whether the change may have taken effect.
 //   - error: internal error
 func (c *Client) ListAccounts(ctx context.Context, p *ListAccountsPayload) (res []*Revision, err error) {
 	var ires any
@@ -181,11 +181,11 @@
 
 // Status calls the "status" endpoint of the "admin" service.
 // Status may return the following errors:
-//   - "invalid" (type *Fault): The document is refused; what was in force stays.
-//   - "conflict" (type *Fault): Somebody else changed the value first.
+//   - "invalid" (type *Fault): The document is invalid; nothing was changed.
+//   - "conflict" (type *Fault): The value was changed concurrently.
 //   - "forbidden" (type *Fault): The token does not carry the right.
-//   - "missing" (type *Fault): No such value.
-//   - "unavailable" (type *Fault): The store does not answer; the message says whether the change may have taken effect.
+//   - "missing" (type *Fault): The template or account does not exist.
+//   - "unavailable" (type *Fault): The store does not respond; the message says whether the change may have taken effect.
 //   - error: internal error
 func (c *Client) Status(ctx context.Context, p *StatusPayload) (res []*ShardState, err error) {
 	var ires any
@@ -198,11 +198,11 @@
 
 // Dump calls the "dump" endpoint of the "admin" service.
 // Dump may return the following errors:
-//   - "invalid" (type *Fault): The document is refused; what was in force stays.
-//   - "conflict" (type *Fault): Somebody else changed the value first.
+//   - "invalid" (type *Fault): The document is invalid; nothing was changed.
+//   - "conflict" (type *Fault): The value was changed concurrently.
 //   - "forbidden" (type *Fault): The token does not carry the right.
-//   - "missing" (type *Fault): No such value.
-//   - "unavailable" (type *Fault): The store does not answer; the message says whether the change may have taken effect.
+//   - "missing" (type *Fault): The template or account does not exist.
+//   - "unavailable" (type *Fault): The store does not respond; the message says whether the change may have taken effect.
 //   - error: internal error
 func (c *Client) Dump(ctx context.Context, p *DumpPayload) (res any, err error) {
 	var ires any
--- a/gen/admin/service.go
+++ b/gen/admin/service.go
@@ -15,7 +15,8 @@
 
 // Templates, client accounts and the state of the fleet.
 type Service interface {
-	// Publishes a template. The base sequence makes a conflict visible.
+	// Publishes a template. It is refused if base is set and is not the sequence
+	// in force.
 	PublishTemplate(context.Context, *PublishTemplatePayload) (res *Revision, err error)
 	// ListTemplates implements list_templates.
 	ListTemplates(context.Context, *ListTemplatesPayload) (res []*Revision, err error)
@@ -33,7 +34,7 @@
 	ListAccounts(context.Context, *ListAccountsPayload) (res []*Revision, err error)
 	// Shows which sequence of each shard is in force on each live node.
 	Status(context.Context, *StatusPayload) (res []*ShardState, err error)
-	// Dumps the whole decision state of this node.
+	// Dumps the decision state of this node.
 	Dump(context.Context, *DumpPayload) (res any, err error)
 }
 
@@ -72,7 +73,7 @@
 }
 
 type Fault struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string
 	// Numbered result code, see docs/CODES.md.
 	Code int
@@ -106,9 +107,9 @@
 	Source string
 	// Name of the file, for error messages.
 	File *string
-	// Identifier chosen by the publisher; the same one again is the same change.
+	// Identifier chosen by the publisher; repeating it has no further effect.
 	PublishID string
-	// Sequence the change was made from; 0 for whatever is in force.
+	// Sequence that the change is based on; 0 for any.
 	Base *uint64
 }
 
@@ -129,11 +130,11 @@
 	Account *string
 	// Sequence number of the shard that holds the value; grows with every change.
 	Sequence uint64
-	// Identifier of the publish, chosen by the publisher.
+	// Identifier of the change, chosen by the publisher.
 	PublishID string
 	// Team that published.
 	Publisher string
-	// Store value that carries it.
+	// Store key of the shard that holds the value.
 	Shard string
 }
 
@@ -153,7 +154,7 @@
 	Node     string
 	Shard    string
 	Sequence uint64
-	// False when the node did not answer; sequence is then the last one heard.
+	// False if the node did not respond; sequence is then the last one received.
 	Reachable bool
 }
 
--- a/gen/http/admin/client/types.go
+++ b/gen/http/admin/client/types.go
@@ -20,9 +20,9 @@
 	Source string `form:"source" json:"source" xml:"source"`
 	// Name of the file, for error messages.
 	File *string `form:"file,omitempty" json:"file,omitempty" xml:"file,omitempty"`
-	// Identifier chosen by the publisher; the same one again is the same change.
+	// Identifier chosen by the publisher; repeating it has no further effect.
 	PublishID string `form:"publish_id" json:"publish_id" xml:"publish_id"`
-	// Sequence the change was made from; 0 for whatever is in force.
+	// Sequence that the change is based on; 0 for any.
 	Base *uint64 `form:"base,omitempty" json:"base,omitempty" xml:"base,omitempty"`
 }
 
@@ -44,11 +44,11 @@
 	Account *string `form:"account,omitempty" json:"account,omitempty" xml:"account,omitempty"`
 	// Sequence number of the shard that holds the value; grows with every change.
 	Sequence *uint64 `form:"sequence,omitempty" json:"sequence,omitempty" xml:"sequence,omitempty"`
-	// Identifier of the publish, chosen by the publisher.
+	// Identifier of the change, chosen by the publisher.
 	PublishID *string `form:"publish_id,omitempty" json:"publish_id,omitempty" xml:"publish_id,omitempty"`
 	// Team that published.
 	Publisher *string `form:"publisher,omitempty" json:"publisher,omitempty" xml:"publisher,omitempty"`
-	// Store value that carries it.
+	// Store key of the shard that holds the value.
 	Shard *string `form:"shard,omitempty" json:"shard,omitempty" xml:"shard,omitempty"`
 }
 
@@ -69,11 +69,11 @@
 	Account *string `form:"account,omitempty" json:"account,omitempty" xml:"account,omitempty"`
 	// Sequence number of the shard that holds the value; grows with every change.
 	Sequence *uint64 `form:"sequence,omitempty" json:"sequence,omitempty" xml:"sequence,omitempty"`
-	// Identifier of the publish, chosen by the publisher.
+	// Identifier of the change, chosen by the publisher.
 	PublishID *string `form:"publish_id,omitempty" json:"publish_id,omitempty" xml:"publish_id,omitempty"`
 	// Team that published.
 	Publisher *string `form:"publisher,omitempty" json:"publisher,omitempty" xml:"publisher,omitempty"`
-	// Store value that carries it.
+	// Store key of the shard that holds the value.
 	Shard *string `form:"shard,omitempty" json:"shard,omitempty" xml:"shard,omitempty"`
 }
 
@@ -86,11 +86,11 @@
 	Account *string `form:"account,omitempty" json:"account,omitempty" xml:"account,omitempty"`
 	// Sequence number of the shard that holds the value; grows with every change.
 	Sequence *uint64 `form:"sequence,omitempty" json:"sequence,omitempty" xml:"sequence,omitempty"`
-	// Identifier of the publish, chosen by the publisher.
+	// Identifier of the change, chosen by the publisher.
 	PublishID *string `form:"publish_id,omitempty" json:"publish_id,omitempty" xml:"publish_id,omitempty"`
 	// Team that published.
 	Publisher *string `form:"publisher,omitempty" json:"publisher,omitempty" xml:"publisher,omitempty"`
-	// Store value that carries it.
+	// Store key of the shard that holds the value.
 	Shard *string `form:"shard,omitempty" json:"shard,omitempty" xml:"shard,omitempty"`
 }
 
@@ -105,7 +105,7 @@
 // PublishTemplateInvalidResponseBody is the type of the "admin" service
 // "publish_template" endpoint HTTP response body for the "invalid" error.
 type PublishTemplateInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -120,7 +120,7 @@
 // PublishTemplateConflictResponseBody is the type of the "admin" service
 // "publish_template" endpoint HTTP response body for the "conflict" error.
 type PublishTemplateConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -135,7 +135,7 @@
 // PublishTemplateForbiddenResponseBody is the type of the "admin" service
 // "publish_template" endpoint HTTP response body for the "forbidden" error.
 type PublishTemplateForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -150,7 +150,7 @@
 // PublishTemplateMissingResponseBody is the type of the "admin" service
 // "publish_template" endpoint HTTP response body for the "missing" error.
 type PublishTemplateMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -165,7 +165,7 @@
 // PublishTemplateUnavailableResponseBody is the type of the "admin" service
 // "publish_template" endpoint HTTP response body for the "unavailable" error.
 type PublishTemplateUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -180,7 +180,7 @@
 // ListTemplatesInvalidResponseBody is the type of the "admin" service
 // "list_templates" endpoint HTTP response body for the "invalid" error.
 type ListTemplatesInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -195,7 +195,7 @@
 // ListTemplatesConflictResponseBody is the type of the "admin" service
 // "list_templates" endpoint HTTP response body for the "conflict" error.
 type ListTemplatesConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -210,7 +210,7 @@
 // ListTemplatesForbiddenResponseBody is the type of the "admin" service
 // "list_templates" endpoint HTTP response body for the "forbidden" error.
 type ListTemplatesForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -225,7 +225,7 @@
 // ListTemplatesMissingResponseBody is the type of the "admin" service
 // "list_templates" endpoint HTTP response body for the "missing" error.
 type ListTemplatesMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -240,7 +240,7 @@
 // ListTemplatesUnavailableResponseBody is the type of the "admin" service
 // "list_templates" endpoint HTTP response body for the "unavailable" error.
 type ListTemplatesUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -255,7 +255,7 @@
 // ShowTemplateInvalidResponseBody is the type of the "admin" service
 // "show_template" endpoint HTTP response body for the "invalid" error.
 type ShowTemplateInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -270,7 +270,7 @@
 // ShowTemplateConflictResponseBody is the type of the "admin" service
 // "show_template" endpoint HTTP response body for the "conflict" error.
 type ShowTemplateConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -285,7 +285,7 @@
 // ShowTemplateForbiddenResponseBody is the type of the "admin" service
 // "show_template" endpoint HTTP response body for the "forbidden" error.
 type ShowTemplateForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -300,7 +300,7 @@
 // ShowTemplateMissingResponseBody is the type of the "admin" service
 // "show_template" endpoint HTTP response body for the "missing" error.
 type ShowTemplateMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -315,7 +315,7 @@
 // ShowTemplateUnavailableResponseBody is the type of the "admin" service
 // "show_template" endpoint HTTP response body for the "unavailable" error.
 type ShowTemplateUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -330,7 +330,7 @@
 // TemplateHistoryInvalidResponseBody is the type of the "admin" service
 // "template_history" endpoint HTTP response body for the "invalid" error.
 type TemplateHistoryInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -345,7 +345,7 @@
 // TemplateHistoryConflictResponseBody is the type of the "admin" service
 // "template_history" endpoint HTTP response body for the "conflict" error.
 type TemplateHistoryConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -360,7 +360,7 @@
 // TemplateHistoryForbiddenResponseBody is the type of the "admin" service
 // "template_history" endpoint HTTP response body for the "forbidden" error.
 type TemplateHistoryForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -375,7 +375,7 @@
 // TemplateHistoryMissingResponseBody is the type of the "admin" service
 // "template_history" endpoint HTTP response body for the "missing" error.
 type TemplateHistoryMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -390,7 +390,7 @@
 // TemplateHistoryUnavailableResponseBody is the type of the "admin" service
 // "template_history" endpoint HTTP response body for the "unavailable" error.
 type TemplateHistoryUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -405,7 +405,7 @@
 // SetAccountInvalidResponseBody is the type of the "admin" service
 // "set_account" endpoint HTTP response body for the "invalid" error.
 type SetAccountInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -420,7 +420,7 @@
 // SetAccountConflictResponseBody is the type of the "admin" service
 // "set_account" endpoint HTTP response body for the "conflict" error.
 type SetAccountConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -435,7 +435,7 @@
 // SetAccountForbiddenResponseBody is the type of the "admin" service
 // "set_account" endpoint HTTP response body for the "forbidden" error.
 type SetAccountForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -450,7 +450,7 @@
 // SetAccountMissingResponseBody is the type of the "admin" service
 // "set_account" endpoint HTTP response body for the "missing" error.
 type SetAccountMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -465,7 +465,7 @@
 // SetAccountUnavailableResponseBody is the type of the "admin" service
 // "set_account" endpoint HTTP response body for the "unavailable" error.
 type SetAccountUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -480,7 +480,7 @@
 // RemoveAccountInvalidResponseBody is the type of the "admin" service
 // "remove_account" endpoint HTTP response body for the "invalid" error.
 type RemoveAccountInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -495,7 +495,7 @@
 // RemoveAccountConflictResponseBody is the type of the "admin" service
 // "remove_account" endpoint HTTP response body for the "conflict" error.
 type RemoveAccountConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -510,7 +510,7 @@
 // RemoveAccountForbiddenResponseBody is the type of the "admin" service
 // "remove_account" endpoint HTTP response body for the "forbidden" error.
 type RemoveAccountForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -525,7 +525,7 @@
 // RemoveAccountMissingResponseBody is the type of the "admin" service
 // "remove_account" endpoint HTTP response body for the "missing" error.
 type RemoveAccountMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -540,7 +540,7 @@
 // RemoveAccountUnavailableResponseBody is the type of the "admin" service
 // "remove_account" endpoint HTTP response body for the "unavailable" error.
 type RemoveAccountUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -555,7 +555,7 @@
 // ShowAccountInvalidResponseBody is the type of the "admin" service
 // "show_account" endpoint HTTP response body for the "invalid" error.
 type ShowAccountInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -570,7 +570,7 @@
 // ShowAccountConflictResponseBody is the type of the "admin" service
 // "show_account" endpoint HTTP response body for the "conflict" error.
 type ShowAccountConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -585,7 +585,7 @@
 // ShowAccountForbiddenResponseBody is the type of the "admin" service
 // "show_account" endpoint HTTP response body for the "forbidden" error.
 type ShowAccountForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -600,7 +600,7 @@
 // ShowAccountMissingResponseBody is the type of the "admin" service
 // "show_account" endpoint HTTP response body for the "missing" error.
 type ShowAccountMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -615,7 +615,7 @@
 // ShowAccountUnavailableResponseBody is the type of the "admin" service
 // "show_account" endpoint HTTP response body for the "unavailable" error.
 type ShowAccountUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -630,7 +630,7 @@
 // ListAccountsInvalidResponseBody is the type of the "admin" service
 // "list_accounts" endpoint HTTP response body for the "invalid" error.
 type ListAccountsInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -645,7 +645,7 @@
 // ListAccountsConflictResponseBody is the type of the "admin" service
 // "list_accounts" endpoint HTTP response body for the "conflict" error.
 type ListAccountsConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -660,7 +660,7 @@
 // ListAccountsForbiddenResponseBody is the type of the "admin" service
 // "list_accounts" endpoint HTTP response body for the "forbidden" error.
 type ListAccountsForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -675,7 +675,7 @@
 // ListAccountsMissingResponseBody is the type of the "admin" service
 // "list_accounts" endpoint HTTP response body for the "missing" error.
 type ListAccountsMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -690,7 +690,7 @@
 // ListAccountsUnavailableResponseBody is the type of the "admin" service
 // "list_accounts" endpoint HTTP response body for the "unavailable" error.
 type ListAccountsUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -705,7 +705,7 @@
 // StatusInvalidResponseBody is the type of the "admin" service "status"
 // endpoint HTTP response body for the "invalid" error.
 type StatusInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -720,7 +720,7 @@
 // StatusConflictResponseBody is the type of the "admin" service "status"
 // endpoint HTTP response body for the "conflict" error.
 type StatusConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -735,7 +735,7 @@
 // StatusForbiddenResponseBody is the type of the "admin" service "status"
 // endpoint HTTP response body for the "forbidden" error.
 type StatusForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -750,7 +750,7 @@
 // StatusMissingResponseBody is the type of the "admin" service "status"
 // endpoint HTTP response body for the "missing" error.
 type StatusMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -765,7 +765,7 @@
 // StatusUnavailableResponseBody is the type of the "admin" service "status"
 // endpoint HTTP response body for the "unavailable" error.
 type StatusUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -780,7 +780,7 @@
 // DumpInvalidResponseBody is the type of the "admin" service "dump" endpoint
 // HTTP response body for the "invalid" error.
 type DumpInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -795,7 +795,7 @@
 // DumpConflictResponseBody is the type of the "admin" service "dump" endpoint
 // HTTP response body for the "conflict" error.
 type DumpConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -810,7 +810,7 @@
 // DumpForbiddenResponseBody is the type of the "admin" service "dump" endpoint
 // HTTP response body for the "forbidden" error.
 type DumpForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -825,7 +825,7 @@
 // DumpMissingResponseBody is the type of the "admin" service "dump" endpoint
 // HTTP response body for the "missing" error.
 type DumpMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -840,7 +840,7 @@
 // DumpUnavailableResponseBody is the type of the "admin" service "dump"
 // endpoint HTTP response body for the "unavailable" error.
 type DumpUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
 	// Numbered result code, see docs/CODES.md.
 	Code *int `form:"code,omitempty" json:"code,omitempty" xml:"code,omitempty"`
@@ -860,11 +860,11 @@
 	Account *string `form:"account,omitempty" json:"account,omitempty" xml:"account,omitempty"`
 	// Sequence number of the shard that holds the value; grows with every change.
 	Sequence *uint64 `form:"sequence,omitempty" json:"sequence,omitempty" xml:"sequence,omitempty"`
-	// Identifier of the publish, chosen by the publisher.
+	// Identifier of the change, chosen by the publisher.
 	PublishID *string `form:"publish_id,omitempty" json:"publish_id,omitempty" xml:"publish_id,omitempty"`
 	// Team that published.
 	Publisher *string `form:"publisher,omitempty" json:"publisher,omitempty" xml:"publisher,omitempty"`
-	// Store value that carries it.
+	// Store key of the shard that holds the value.
 	Shard *string `form:"shard,omitempty" json:"shard,omitempty" xml:"shard,omitempty"`
 }
 
@@ -876,11 +876,11 @@
 	Account *string `form:"account,omitempty" json:"account,omitempty" xml:"account,omitempty"`
 	// Sequence number of the shard that holds the value; grows with every change.
 	Sequence *uint64 `form:"sequence,omitempty" json:"sequence,omitempty" xml:"sequence,omitempty"`
-	// Identifier of the publish, chosen by the publisher.
+	// Identifier of the change, chosen by the publisher.
 	PublishID *string `form:"publish_id,omitempty" json:"publish_id,omitempty" xml:"publish_id,omitempty"`
 	// Team that published.
 	Publisher *string `form:"publisher,omitempty" json:"publisher,omitempty" xml:"publisher,omitempty"`
-	// Store value that carries it.
+	// Store key of the shard that holds the value.
 	Shard *string `form:"shard,omitempty" json:"shard,omitempty" xml:"shard,omitempty"`
 }
 
@@ -896,7 +896,7 @@
 	Node     *string `form:"node,omitempty" json:"node,omitempty" xml:"node,omitempty"`
 	Shard    *string `form:"shard,omitempty" json:"shard,omitempty" xml:"shard,omitempty"`
 	Sequence *uint64 `form:"sequence,omitempty" json:"sequence,omitempty" xml:"sequence,omitempty"`
-	// False when the node did not answer; sequence is then the last one heard.
+	// False if the node did not respond; sequence is then the last one received.
 	Reachable *bool `form:"reachable,omitempty" json:"reachable,omitempty" xml:"reachable,omitempty"`
 }
 
--- a/gen/http/admin/server/types.go
+++ b/gen/http/admin/server/types.go
@@ -20,9 +20,9 @@
 	Source *string `form:"source,omitempty" json:"source,omitempty" xml:"source,omitempty"`
 	// Name of the file, for error messages.
 	File *string `form:"file,omitempty" json:"file,omitempty" xml:"file,omitempty"`
-	// Identifier chosen by the publisher; the same one again is the same change.
+	// Identifier chosen by the publisher; repeating it has no further effect.
 	PublishID *string `form:"publish_id,omitempty" json:"publish_id,omitempty" xml:"publish_id,omitempty"`
-	// Sequence the change was made from; 0 for whatever is in force.
+	// Sequence that the change is based on; 0 for any.
 	Base *uint64 `form:"base,omitempty" json:"base,omitempty" xml:"base,omitempty"`
 }
 
@@ -44,11 +44,11 @@
 	Account *string `form:"account,omitempty" json:"account,omitempty" xml:"account,omitempty"`
 	// Sequence number of the shard that holds the value; grows with every change.
 	Sequence uint64 `form:"sequence" json:"sequence" xml:"sequence"`
-	// Identifier of the publish, chosen by the publisher.
+	// Identifier of the change, chosen by the publisher.
 	PublishID string `form:"publish_id" json:"publish_id" xml:"publish_id"`
 	// Team that published.
 	Publisher string `form:"publisher" json:"publisher" xml:"publisher"`
-	// Store value that carries it.
+	// Store key of the shard that holds the value.
 	Shard string `form:"shard" json:"shard" xml:"shard"`
 }
 
@@ -77,11 +77,11 @@
 	Account *string `form:"account,omitempty" json:"account,omitempty" xml:"account,omitempty"`
 	// Sequence number of the shard that holds the value; grows with every change.
 	Sequence uint64 `form:"sequence" json:"sequence" xml:"sequence"`
-	// Identifier of the publish, chosen by the publisher.
+	// Identifier of the change, chosen by the publisher.
 	PublishID string `form:"publish_id" json:"publish_id" xml:"publish_id"`
 	// Team that published.
 	Publisher string `form:"publisher" json:"publisher" xml:"publisher"`
-	// Store value that carries it.
+	// Store key of the shard that holds the value.
 	Shard string `form:"shard" json:"shard" xml:"shard"`
 }
 
@@ -94,11 +94,11 @@
 	Account *string `form:"account,omitempty" json:"account,omitempty" xml:"account,omitempty"`
 	// Sequence number of the shard that holds the value; grows with every change.
 	Sequence uint64 `form:"sequence" json:"sequence" xml:"sequence"`
-	// Identifier of the publish, chosen by the publisher.
+	// Identifier of the change, chosen by the publisher.
 	PublishID string `form:"publish_id" json:"publish_id" xml:"publish_id"`
 	// Team that published.
 	Publisher string `form:"publisher" json:"publisher" xml:"publisher"`
-	// Store value that carries it.
+	// Store key of the shard that holds the value.
 	Shard string `form:"shard" json:"shard" xml:"shard"`
 }
 
@@ -121,7 +121,7 @@
 // PublishTemplateInvalidResponseBody is the type of the "admin" service
 // "publish_template" endpoint HTTP response body for the "invalid" error.
 type PublishTemplateInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -136,7 +136,7 @@
 // PublishTemplateConflictResponseBody is the type of the "admin" service
 // "publish_template" endpoint HTTP response body for the "conflict" error.
 type PublishTemplateConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -151,7 +151,7 @@
 // PublishTemplateForbiddenResponseBody is the type of the "admin" service
 // "publish_template" endpoint HTTP response body for the "forbidden" error.
 type PublishTemplateForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -166,7 +166,7 @@
 // PublishTemplateMissingResponseBody is the type of the "admin" service
 // "publish_template" endpoint HTTP response body for the "missing" error.
 type PublishTemplateMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -181,7 +181,7 @@
 // PublishTemplateUnavailableResponseBody is the type of the "admin" service
 // "publish_template" endpoint HTTP response body for the "unavailable" error.
 type PublishTemplateUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -196,7 +196,7 @@
 // ListTemplatesInvalidResponseBody is the type of the "admin" service
 // "list_templates" endpoint HTTP response body for the "invalid" error.
 type ListTemplatesInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -211,7 +211,7 @@
 // ListTemplatesConflictResponseBody is the type of the "admin" service
 // "list_templates" endpoint HTTP response body for the "conflict" error.
 type ListTemplatesConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -226,7 +226,7 @@
 // ListTemplatesForbiddenResponseBody is the type of the "admin" service
 // "list_templates" endpoint HTTP response body for the "forbidden" error.
 type ListTemplatesForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -241,7 +241,7 @@
 // ListTemplatesMissingResponseBody is the type of the "admin" service
 // "list_templates" endpoint HTTP response body for the "missing" error.
 type ListTemplatesMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -256,7 +256,7 @@
 // ListTemplatesUnavailableResponseBody is the type of the "admin" service
 // "list_templates" endpoint HTTP response body for the "unavailable" error.
 type ListTemplatesUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -271,7 +271,7 @@
 // ShowTemplateInvalidResponseBody is the type of the "admin" service
 // "show_template" endpoint HTTP response body for the "invalid" error.
 type ShowTemplateInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -286,7 +286,7 @@
 // ShowTemplateConflictResponseBody is the type of the "admin" service
 // "show_template" endpoint HTTP response body for the "conflict" error.
 type ShowTemplateConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -301,7 +301,7 @@
 // ShowTemplateForbiddenResponseBody is the type of the "admin" service
 // "show_template" endpoint HTTP response body for the "forbidden" error.
 type ShowTemplateForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -316,7 +316,7 @@
 // ShowTemplateMissingResponseBody is the type of the "admin" service
 // "show_template" endpoint HTTP response body for the "missing" error.
 type ShowTemplateMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -331,7 +331,7 @@
 // ShowTemplateUnavailableResponseBody is the type of the "admin" service
 // "show_template" endpoint HTTP response body for the "unavailable" error.
 type ShowTemplateUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -346,7 +346,7 @@
 // TemplateHistoryInvalidResponseBody is the type of the "admin" service
 // "template_history" endpoint HTTP response body for the "invalid" error.
 type TemplateHistoryInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -361,7 +361,7 @@
 // TemplateHistoryConflictResponseBody is the type of the "admin" service
 // "template_history" endpoint HTTP response body for the "conflict" error.
 type TemplateHistoryConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -376,7 +376,7 @@
 // TemplateHistoryForbiddenResponseBody is the type of the "admin" service
 // "template_history" endpoint HTTP response body for the "forbidden" error.
 type TemplateHistoryForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -391,7 +391,7 @@
 // TemplateHistoryMissingResponseBody is the type of the "admin" service
 // "template_history" endpoint HTTP response body for the "missing" error.
 type TemplateHistoryMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -406,7 +406,7 @@
 // TemplateHistoryUnavailableResponseBody is the type of the "admin" service
 // "template_history" endpoint HTTP response body for the "unavailable" error.
 type TemplateHistoryUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -421,7 +421,7 @@
 // SetAccountInvalidResponseBody is the type of the "admin" service
 // "set_account" endpoint HTTP response body for the "invalid" error.
 type SetAccountInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -436,7 +436,7 @@
 // SetAccountConflictResponseBody is the type of the "admin" service
 // "set_account" endpoint HTTP response body for the "conflict" error.
 type SetAccountConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -451,7 +451,7 @@
 // SetAccountForbiddenResponseBody is the type of the "admin" service
 // "set_account" endpoint HTTP response body for the "forbidden" error.
 type SetAccountForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -466,7 +466,7 @@
 // SetAccountMissingResponseBody is the type of the "admin" service
 // "set_account" endpoint HTTP response body for the "missing" error.
 type SetAccountMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -481,7 +481,7 @@
 // SetAccountUnavailableResponseBody is the type of the "admin" service
 // "set_account" endpoint HTTP response body for the "unavailable" error.
 type SetAccountUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -496,7 +496,7 @@
 // RemoveAccountInvalidResponseBody is the type of the "admin" service
 // "remove_account" endpoint HTTP response body for the "invalid" error.
 type RemoveAccountInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -511,7 +511,7 @@
 // RemoveAccountConflictResponseBody is the type of the "admin" service
 // "remove_account" endpoint HTTP response body for the "conflict" error.
 type RemoveAccountConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -526,7 +526,7 @@
 // RemoveAccountForbiddenResponseBody is the type of the "admin" service
 // "remove_account" endpoint HTTP response body for the "forbidden" error.
 type RemoveAccountForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -541,7 +541,7 @@
 // RemoveAccountMissingResponseBody is the type of the "admin" service
 // "remove_account" endpoint HTTP response body for the "missing" error.
 type RemoveAccountMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -556,7 +556,7 @@
 // RemoveAccountUnavailableResponseBody is the type of the "admin" service
 // "remove_account" endpoint HTTP response body for the "unavailable" error.
 type RemoveAccountUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -571,7 +571,7 @@
 // ShowAccountInvalidResponseBody is the type of the "admin" service
 // "show_account" endpoint HTTP response body for the "invalid" error.
 type ShowAccountInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -586,7 +586,7 @@
 // ShowAccountConflictResponseBody is the type of the "admin" service
 // "show_account" endpoint HTTP response body for the "conflict" error.
 type ShowAccountConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -601,7 +601,7 @@
 // ShowAccountForbiddenResponseBody is the type of the "admin" service
 // "show_account" endpoint HTTP response body for the "forbidden" error.
 type ShowAccountForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -616,7 +616,7 @@
 // ShowAccountMissingResponseBody is the type of the "admin" service
 // "show_account" endpoint HTTP response body for the "missing" error.
 type ShowAccountMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -631,7 +631,7 @@
 // ShowAccountUnavailableResponseBody is the type of the "admin" service
 // "show_account" endpoint HTTP response body for the "unavailable" error.
 type ShowAccountUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -646,7 +646,7 @@
 // ListAccountsInvalidResponseBody is the type of the "admin" service
 // "list_accounts" endpoint HTTP response body for the "invalid" error.
 type ListAccountsInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -661,7 +661,7 @@
 // ListAccountsConflictResponseBody is the type of the "admin" service
 // "list_accounts" endpoint HTTP response body for the "conflict" error.
 type ListAccountsConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -676,7 +676,7 @@
 // ListAccountsForbiddenResponseBody is the type of the "admin" service
 // "list_accounts" endpoint HTTP response body for the "forbidden" error.
 type ListAccountsForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -691,7 +691,7 @@
 // ListAccountsMissingResponseBody is the type of the "admin" service
 // "list_accounts" endpoint HTTP response body for the "missing" error.
 type ListAccountsMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -706,7 +706,7 @@
 // ListAccountsUnavailableResponseBody is the type of the "admin" service
 // "list_accounts" endpoint HTTP response body for the "unavailable" error.
 type ListAccountsUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -721,7 +721,7 @@
 // StatusInvalidResponseBody is the type of the "admin" service "status"
 // endpoint HTTP response body for the "invalid" error.
 type StatusInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -736,7 +736,7 @@
 // StatusConflictResponseBody is the type of the "admin" service "status"
 // endpoint HTTP response body for the "conflict" error.
 type StatusConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -751,7 +751,7 @@
 // StatusForbiddenResponseBody is the type of the "admin" service "status"
 // endpoint HTTP response body for the "forbidden" error.
 type StatusForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -766,7 +766,7 @@
 // StatusMissingResponseBody is the type of the "admin" service "status"
 // endpoint HTTP response body for the "missing" error.
 type StatusMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -781,7 +781,7 @@
 // StatusUnavailableResponseBody is the type of the "admin" service "status"
 // endpoint HTTP response body for the "unavailable" error.
 type StatusUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -796,7 +796,7 @@
 // DumpInvalidResponseBody is the type of the "admin" service "dump" endpoint
 // HTTP response body for the "invalid" error.
 type DumpInvalidResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -811,7 +811,7 @@
 // DumpConflictResponseBody is the type of the "admin" service "dump" endpoint
 // HTTP response body for the "conflict" error.
 type DumpConflictResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -826,7 +826,7 @@
 // DumpForbiddenResponseBody is the type of the "admin" service "dump" endpoint
 // HTTP response body for the "forbidden" error.
 type DumpForbiddenResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -841,7 +841,7 @@
 // DumpMissingResponseBody is the type of the "admin" service "dump" endpoint
 // HTTP response body for the "missing" error.
 type DumpMissingResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -856,7 +856,7 @@
 // DumpUnavailableResponseBody is the type of the "admin" service "dump"
 // endpoint HTTP response body for the "unavailable" error.
 type DumpUnavailableResponseBody struct {
-	// Kind of the error.
+	// Name of the error kind.
 	Name string `form:"name" json:"name" xml:"name"`
 	// Numbered result code, see docs/CODES.md.
 	Code int `form:"code" json:"code" xml:"code"`
@@ -876,11 +876,11 @@
 	Account *string `form:"account,omitempty" json:"account,omitempty" xml:"account,omitempty"`
 	// Sequence number of the shard that holds the value; grows with every change.
 	Sequence uint64 `form:"sequence" json:"sequence" xml:"sequence"`
-	// Identifier of the publish, chosen by the publisher.
+	// Identifier of the change, chosen by the publisher.
 	PublishID string `form:"publish_id" json:"publish_id" xml:"publish_id"`
 	// Team that published.
 	Publisher string `form:"publisher" json:"publisher" xml:"publisher"`
-	// Store value that carries it.
+	// Store key of the shard that holds the value.
 	Shard string `form:"shard" json:"shard" xml:"shard"`
 }
 
@@ -892,11 +892,11 @@
 	Account *string `form:"account,omitempty" json:"account,omitempty" xml:"account,omitempty"`
 	// Sequence number of the shard that holds the value; grows with every change.
 	Sequence uint64 `form:"sequence" json:"sequence" xml:"sequence"`
-	// Identifier of the publish, chosen by the publisher.
+	// Identifier of the change, chosen by the publisher.
 	PublishID string `form:"publish_id" json:"publish_id" xml:"publish_id"`
 	// Team that published.
 	Publisher string `form:"publisher" json:"publisher" xml:"publisher"`
-	// Store value that carries it.
+	// Store key of the shard that holds the value.
 	Shard string `form:"shard" json:"shard" xml:"shard"`
 }
 
@@ -912,7 +912,7 @@
 	Node     string `form:"node" json:"node" xml:"node"`
 	Shard    string `form:"shard" json:"shard" xml:"shard"`
 	Sequence uint64 `form:"sequence" json:"sequence" xml:"sequence"`
-	// False when the node did not answer; sequence is then the last one heard.
+	// False if the node did not respond; sequence is then the last one received.
 	Reachable bool `form:"reachable" json:"reachable" xml:"reachable"`
 }
 
--- a/gen/http/cli/eiderfold/cli.go
+++ b/gen/http/cli/eiderfold/cli.go
@@ -234,7 +234,7 @@
 	fmt.Fprintln(os.Stderr, `Templates, client accounts and the state of the fleet.`)
 	fmt.Fprintf(os.Stderr, "Usage:\n    %s [globalflags] admin COMMAND [flags]\n\n", os.Args[0])
 	fmt.Fprintln(os.Stderr, "COMMAND:")
-	fmt.Fprintln(os.Stderr, `    publish-template: Publishes a template. The base sequence makes a conflict visible.`)
+	fmt.Fprintln(os.Stderr, `    publish-template: Publishes a template. It is refused if base is set and is not the sequence in force.`)
 	fmt.Fprintln(os.Stderr, `    list-templates: ListTemplates implements list_templates.`)
 	fmt.Fprintln(os.Stderr, `    show-template: ShowTemplate implements show_template.`)
 	fmt.Fprintln(os.Stderr, `    template-history: Lists the last published versions, newest first.`)
@@ -243,7 +243,7 @@
 	fmt.Fprintln(os.Stderr, `    show-account: ShowAccount implements show_account.`)
 	fmt.Fprintln(os.Stderr, `    list-accounts: ListAccounts implements list_accounts.`)
 	fmt.Fprintln(os.Stderr, `    status: Shows which sequence of each shard is in force on each live node.`)
-	fmt.Fprintln(os.Stderr, `    dump: Dumps the whole decision state of this node.`)
+	fmt.Fprintln(os.Stderr, `    dump: Dumps the decision state of this node.`)
 	fmt.Fprintln(os.Stderr)
 	fmt.Fprintln(os.Stderr, "Additional help:")
 	fmt.Fprintf(os.Stderr, "    %s admin COMMAND --help\n", os.Args[0])
@@ -258,7 +258,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Publishes a template. The base sequence makes a conflict visible.`)
+	fmt.Fprintln(os.Stderr, `Publishes a template. It is refused if base is set and is not the sequence in force.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -body JSON: `)
@@ -444,7 +444,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Dumps the whole decision state of this node.`)
+	fmt.Fprintln(os.Stderr, `Dumps the decision state of this node.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -token STRING: `)
