--- a/config/holder.go
+++ b/config/holder.go
@@ -105,7 +105,7 @@
 // Apply puts a shard in force if its sequence is higher than the current one, and
 // reports whether it did. A value that is corrupted or does not parse is an error.
 func (h *Holder) Apply(key string, value []byte) (bool, error) {
-	place, err := ParseKey(key)
+	parsed, err := ParseKey(key)
 	if err != nil {
 		return false, err
 	}
@@ -120,10 +120,10 @@
 		return false, nil
 	}
 	next := &Snapshot{templates: slices.Clone(old.templates), sequences: maps.Clone(old.sequences)}
-	if place.Itself {
-		err = h.setTemplate(next, place.Template, shard)
+	if parsed.Itself {
+		err = h.setTemplate(next, parsed.Template, shard)
 	} else {
-		next.setBucket(place, shard)
+		next.setBucket(parsed, shard)
 	}
 	if err != nil {
 		return false, errors.Wrap(err, key)
@@ -165,13 +165,13 @@
 	return nil
 }
 
-func (s *Snapshot) setBucket(p Place, shard *Shard) {
-	i := s.index(p.Template)
+func (s *Snapshot) setBucket(parsed ShardKey, shard *Shard) {
+	i := s.index(parsed.Template)
 	if i < 0 {
 		return // setTemplate instantiates the accounts when the template arrives.
 	}
 	next := *s.templates[i]
-	next.buckets[p.Bucket] = next.template.instantiateAll(shard)
+	next.buckets[parsed.Bucket] = next.template.instantiateAll(shard)
 	s.templates[i] = &next
 }
 
--- a/config/parse.go
+++ b/config/parse.go
@@ -75,22 +75,22 @@
 	Headers   map[string]string `yaml:"headers"`
 }
 
-// Faults is the error that lists all faults of a document.
-type Faults struct{ lines []string }
+// ValidationError lists all faults of a document.
+type ValidationError struct{ lines []string }
 
 // Error returns the faults, one a line.
-func (f *Faults) Error() string { return strings.Join(f.lines, "\n") }
+func (f *ValidationError) Error() string { return strings.Join(f.lines, "\n") }
 
 // reader builds a template from its YAML form and collects faults with their
 // positions.
 type reader struct {
 	file     string
 	document *ast.File
-	faults   Faults
+	faults   ValidationError
 }
 
 // ParseTemplate parses and validates a template; unknown fields are faults. The
-// error is a *Faults with file, line and field of every fault. The file name is
+// error is a *ValidationError with file, line and field of every fault. The file name is
 // used for the error only.
 func ParseTemplate(file string, source []byte) (*Template, error) {
 	r := &reader{file: file}
--- a/config/shard.go
+++ b/config/shard.go
@@ -84,8 +84,8 @@
 // TemplatePrefix returns the prefix of all shards of a template.
 func TemplatePrefix(template string) string { return Prefix + template + "/" }
 
-// Place is a parsed configuration key.
-type Place struct {
+// ShardKey is a parsed configuration key.
+type ShardKey struct {
 	Template string
 	Itself   bool // Key of the template shard, not of an account bucket.
 	Bucket   int
@@ -93,21 +93,21 @@
 
 // ParseKey parses a configuration key. Other keys with the same prefix, such as a
 // template's assignment, are an error.
-func ParseKey(key string) (Place, error) {
+func ParseKey(key string) (ShardKey, error) {
 	rest, ok := strings.CutPrefix(key, Prefix)
 	if !ok {
-		return Place{}, errors.Errorf("%s is not a configuration key", key)
+		return ShardKey{}, errors.Errorf("%s is not a configuration key", key)
 	}
 	template, kind, _ := strings.Cut(rest, "/")
 	if kind == templateKind {
-		return Place{Template: template, Itself: true}, nil
+		return ShardKey{Template: template, Itself: true}, nil
 	}
 	number, ok := strings.CutPrefix(kind, accountKindPrefix)
 	bucket, err := strconv.Atoi(number)
 	if !ok || err != nil || bucket < 0 || bucket >= bucketCount {
-		return Place{}, errors.Errorf("%s is not a configuration key", key)
+		return ShardKey{}, errors.Errorf("%s is not a configuration key", key)
 	}
-	return Place{Template: template, Bucket: bucket}, nil
+	return ShardKey{Template: template, Bucket: bucket}, nil
 }
 
 // Encode returns the shard as a store value. It fails if the value would exceed
