--- a/ingress/room_test.go
+++ b/ingress/bodymemory_test.go
@@ -21,12 +21,13 @@
 )
 
 const (
-	uploadBytes = 360 << 10
-	uploadRoom  = 4 << 20
+	uploadBytes  = 360 << 10
+	uploadMemory = 4 << 20
 )
 
-// roomyServer serves with a bound on bodies, and counts those that find no room.
-func roomyServer(t testing.TB, serve Serve, bytes int64) (address string, refused *atomic.Int64) {
+// newLimitedServer starts a server with a memory limit for bodies, and counts the bodies
+// refused for lack of memory.
+func newLimitedServer(t testing.TB, serve Serve, bytes int64) (address string, refused *atomic.Int64) {
 	t.Helper()
 	refused = &atomic.Int64{}
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -37,20 +38,17 @@
 	return l.Addr().String(), refused
 }
 
-// Two hundred callers send the largest body of a foundry's uploads at once to a node with
-// room for eleven, and its upstreams are slow. Bodies were read whole without a bound: 72 MB
-// were held, and an instance of 184 MB ends with three copies of that. What finds no room is
-// told so soon, with when to come back, and has not run; the node never holds more than it
-// has room for.
-func TestUploadsStayWithinTheRoom(t *testing.T) {
+// Guards against large concurrent uploads exhausting the process's memory. Uploads beyond
+// the limit are refused with a retry-after and do not run.
+func TestUploadsStayWithinMemoryLimit(t *testing.T) {
 	var held, most, served atomic.Int64
-	address, refused := roomyServer(t, func(_ context.Context, r *Request) *Response {
+	address, refused := newLimitedServer(t, func(_ context.Context, r *Request) *Response {
 		most.Store(max(most.Load(), held.Add(int64(len(r.Body)))))
 		time.Sleep(20 * time.Millisecond)
 		held.Add(-int64(len(r.Body)))
 		served.Add(1)
 		return text(200, "")
-	}, uploadRoom)
+	}, uploadMemory)
 	body := strings.Repeat("x", uploadBytes)
 	var group sync.WaitGroup
 	var unexpected atomic.Int64
@@ -58,7 +56,7 @@
 		group.Go(func() {
 			r, err := http.Post("http://"+address+"/", "font/woff", strings.NewReader(body))
 			if err != nil {
-				return // The refusal may overtake the body, and the connection end under it.
+				return // The refusal may come before the body is sent, and close the connection.
 			}
 			_ = r.Body.Close()
 			if r.StatusCode != 200 && (r.StatusCode != 503 || r.Header.Get("Retry-After") == "") {
@@ -68,14 +66,15 @@
 	}
 	group.Wait()
 	assert.Zero(t, unexpected.Load())
-	assert.LessOrEqual(t, most.Load(), int64(uploadRoom))
-	assert.EqualValues(t, 200, served.Load()+refused.Load(), "served, or told that there is no room")
+	assert.LessOrEqual(t, most.Load(), int64(uploadMemory))
+	assert.EqualValues(t, 200, served.Load()+refused.Load(), "served, or refused for lack of memory")
 	assert.Positive(t, served.Load())
 }
 
-// A sender that stalls keeps no more than it has sent: others find room all the while.
-func TestStalledSendersKeepNoRoom(t *testing.T) {
-	address, refused := roomyServer(t, func(context.Context, *Request) *Response { return text(200, "") }, uploadRoom)
+// Guards against stalled senders blocking others by holding memory for bytes that they
+// have not sent.
+func TestStalledSendersHoldNoMemory(t *testing.T) {
+	address, refused := newLimitedServer(t, func(context.Context, *Request) *Response { return text(200, "") }, uploadMemory)
 	for range 16 {
 		c, err := net.Dial("tcp4", address)
 		require.NoError(t, err)
@@ -92,32 +91,30 @@
 	assert.Zero(t, refused.Load())
 }
 
-// What was taken for a request is given back, whatever came of it: after any number of
-// good, cut off and refused bodies the whole room is there.
-func TestRoomIsGivenBack(t *testing.T) {
-	r := newRoom(100)
-	s := &share{room: r}
-	require.NoError(t, s.take(60))
-	other := &share{room: r}
+// Guards against leaking the memory reserved for bodies, whatever becomes of the request.
+func TestBodyMemoryIsReleased(t *testing.T) {
+	r := newBodyMemory(100)
+	s := &reservation{memory: r}
+	require.NoError(t, s.reserve(60))
+	other := &reservation{memory: r}
 	synctest.Test(t, func(t *testing.T) {
-		assert.ErrorIs(t, other.take(60), errNoRoom)
+		assert.ErrorIs(t, other.reserve(60), errNoMemory)
 	})
 	other.release()
 	s.release()
-	require.NoError(t, other.take(1000), "one that is larger than the room gets all of it")
+	require.NoError(t, other.reserve(1000), "a body larger than the limit gets all of it")
 	other.release()
 	assert.True(t, r.bytes.TryAcquire(100))
 }
 
-// A caller asks for a font and reads nothing of it. Its answer was held for as long as the
-// connection lived, as writing had no deadline. A piece that is not taken within
-// unreadTime ends the connection; one that is read slowly is delivered whole.
+// Guards against a caller that does not read its answer holding the connection forever: a
+// piece that is not read within pieceTimeout ends it.
 func TestUnreadAnswerEndsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		caller, node := net.Pipe()
 		w := pieceWriter{node}
 		go func() {
-			time.Sleep(unreadTime / 2)
+			time.Sleep(pieceTimeout / 2)
 			_, _ = io.ReadFull(caller, make([]byte, 3*pieceBytes/2))
 		}()
 		n, err := w.Write(make([]byte, 2*pieceBytes))
@@ -127,13 +124,13 @@
 	})
 }
 
-// BenchmarkUploads reports the most memory that 200 uploads at once take, of which a node
-// has room for eleven.
+// BenchmarkUploads reports the peak heap size of 200 concurrent uploads with memory for
+// eleven.
 func BenchmarkUploads(b *testing.B) {
-	address, _ := roomyServer(b, func(context.Context, *Request) *Response {
+	address, _ := newLimitedServer(b, func(context.Context, *Request) *Response {
 		time.Sleep(5 * time.Millisecond)
 		return text(200, "")
-	}, uploadRoom)
+	}, uploadMemory)
 	body := strings.Repeat("x", uploadBytes)
 	most := uint64(0)
 	for b.Loop() {
--- a/ingress/choose.go
+++ b/ingress/choose.go
@@ -11,130 +11,134 @@
 )
 
 const (
-	// trialShare is how likely a retryable request goes to a gate on trial that
-	// would take it. The gates themselves keep the pace of tries.
+	// trialShare is the probability that a retryable request goes to a gate on trial that
+	// would accept it. The gates themselves limit the rate of trials.
 	trialShare = 0.5
-	// spentTime is how long after a gate had no budget for a repeat no further tries
-	// are sent to gates on trial: most of them fail, and want a repeat.
-	spentTime = 500 * time.Millisecond
-	// exploreShare of the choices look at one gate at random, so that what is
-	// believed of a gate that got no work does not grow old.
+	// budgetBackoff is how long no more requests are sent to gates on trial after a gate
+	// had no budget for a repeat: most trials fail and need a repeat.
+	budgetBackoff = 500 * time.Millisecond
+	// exploreShare is the share of selections that take a gate at random, so that the
+	// status of an unused gate does not become stale.
 	exploreShare = 0.03
-	// farShare of the choices ignore the data centre, for the same reason.
+	// farShare is the share of selections that ignore the data centre, for the same
+	// reason.
 	farShare = 0.005
-	// slowFactor is how many times the median answer time makes a gate the last resort.
-	// Gates see different mixes of short and long requests, so their means differ by two.
+	// slowFactor times the median response time makes a gate the last resort. Gates get
+	// different mixes of short and long requests, so means that differ by a factor of two
+	// are normal.
 	slowFactor = 3.0
 )
 
-// want says what a request needs of a gate.
-type want struct {
-	service   string
-	retryable bool
-	trials    bool // There is budget for a try that fails.
-	priority  int
-	nearOnly  bool      // Gates of other data centres are of no use yet.
-	tried     []*Target // Not to be asked again.
-	regions   route.Regions
+// criteria describes what a request requires of a gate.
+type criteria struct {
+	service     string
+	retryable   bool
+	allowTrials bool // The budget allows for a trial that fails.
+	priority    int
+	nearOnly    bool      // Exclude gates of other data centres.
+	tried       []*Target // Gates that were already asked.
+	regions     route.Regions
 }
 
-// choice is a gate, and whether it shall take the offer though it is on trial.
-type choice struct {
-	target  *Target
-	force   bool
-	nowhere bool // The service has gates, and none where the request may go.
+// selection is the selected gate, nil if there is none. With force, the gate must accept
+// the offer even if it is on trial.
+type selection struct {
+	endpoint     *Target
+	force        bool
+	noneEligible bool // The service has gates, but none is eligible for the request.
 }
 
-// candidates are the gates that can be asked, by what speaks for them.
+// candidates are the gates that can be asked, grouped by state.
 type candidates struct {
-	open     []*Target
-	trial    []*Target
-	doubtful []*Target // Silent lately.
-	silent   []*Target // Asked for a sign of life in vain.
-	answers  bool      // Some gate of the service is not silent.
-	below    bool      // Too few of the service's gates are open.
-	nowhere  bool      // None of the service's gates are where the request may go.
+	open          []*Target
+	trial         []*Target
+	suspected     []*Target // Recently unresponsive.
+	unresponsive  []*Target // Did not reply to a ping in time.
+	anyResponsive bool      // Some gate of the service is responsive.
+	belowFloor    bool      // Too few of the service's gates are open.
+	noneEligible  bool      // No gate of the service is eligible for the request.
 }
 
-// candidates sorts a service's gates out.
-func (t *Targets) candidates(w want, now time.Time) candidates {
+// candidates groups a service's gates by state.
+func (t *Targets) candidates(crit criteria, now time.Time) candidates {
 	var c candidates
 	open, live := 0, 0
-	all := t.Of(w.service)
-	c.nowhere = len(all) > 0 && t.met.Load()
+	all := t.Of(crit.service)
+	c.noneEligible = len(all) > 0 && t.joined.Load()
 	for _, n := range all {
-		if !t.eligible(n, w.regions) {
+		if !t.eligible(n, crit.regions) {
 			continue
 		}
-		c.nowhere = false
+		c.noneEligible = false
 		mode := n.Status().Mode
 		if mode == link.ModeClosed || !n.Reachable() {
 			continue
 		}
 		live++
-		silent := n.silent(now)
-		c.answers = c.answers || !silent
-		if mode == link.ModeOpen && !silent {
+		unresponsive := n.unresponsive(now)
+		c.anyResponsive = c.anyResponsive || !unresponsive
+		if mode == link.ModeOpen && !unresponsive {
 			open++
 		}
-		if slices.Contains(w.tried, n) || n.full(w.priority, now) {
+		if slices.Contains(crit.tried, n) || n.full(crit.priority, now) {
 			continue
 		}
 		switch {
-		case silent:
-			c.silent = append(c.silent, n)
+		case unresponsive:
+			c.unresponsive = append(c.unresponsive, n)
 		case n.suspected(now):
-			c.doubtful = append(c.doubtful, n)
+			c.suspected = append(c.suspected, n)
 		case mode == link.ModeOpen:
 			c.open = append(c.open, n)
-		case now.UnixNano() >= n.trialAt.Load():
+		case now.UnixNano() >= n.noTrialUntil.Load():
 			c.trial = append(c.trial, n)
 		}
 	}
-	c.below = t.switches.On(switches.Forced) && float64(open) < t.leastOpen(live)
+	c.belowFloor = t.switches.On(switches.Forced) && float64(open) < t.minOpen(live)
 	return c
 }
 
-// choose picks a gate; its target is nil if none can be asked.
-func (t *Targets) choose(w want, now time.Time) choice {
-	c := t.candidates(w, now)
-	mayTry := w.retryable && w.trials
-	if len(c.trial) > 0 && mayTry && t.draw() < trialShare {
-		return choice{target: t.oneOf(t.nearFirst(c.trial))}
+// choose selects a gate; the endpoint is nil if none can be asked.
+func (t *Targets) choose(crit criteria, now time.Time) selection {
+	c := t.candidates(crit, now)
+	mayTrial := crit.retryable && crit.allowTrials
+	if len(c.trial) > 0 && mayTrial && t.draw() < trialShare {
+		return selection{endpoint: t.oneOf(t.nearFirst(c.trial))}
 	}
-	if w.nearOnly {
-		c.open, c.trial, c.doubtful = t.near(c.open), t.near(c.trial), nil
+	if crit.nearOnly {
+		c.open, c.trial, c.suspected = t.near(c.open), t.near(c.trial), nil
 	}
 	switch {
 	case len(c.open) > 0:
-		return choice{target: t.best(c.open, now)}
-	case len(c.trial) > 0 && (c.below || mayTry):
-		return choice{target: leastSuspect(c.trial), force: c.below}
-	case len(c.doubtful) > 0:
-		return choice{target: t.oneOf(c.doubtful), force: c.below}
-	case len(c.silent) > 0 && !c.answers && !w.nearOnly:
-		// Nobody else can serve it, and it may be this node that does not hear.
-		return choice{target: t.oneOf(c.silent), force: c.below}
+		return selection{endpoint: t.best(c.open, now)}
+	case len(c.trial) > 0 && (c.belowFloor || mayTrial):
+		return selection{endpoint: leastSuspect(c.trial), force: c.belowFloor}
+	case len(c.suspected) > 0:
+		return selection{endpoint: t.oneOf(c.suspected), force: c.belowFloor}
+	case len(c.unresponsive) > 0 && !c.anyResponsive && !crit.nearOnly:
+		// No other gate can serve the request, and this node may be the one that receives
+		// nothing.
+		return selection{endpoint: t.oneOf(c.unresponsive), force: c.belowFloor}
 	default:
-		return choice{nowhere: c.nowhere}
+		return selection{noneEligible: c.noneEligible}
 	}
 }
 
-// oneOf returns any of some targets.
+// oneOf returns a random endpoint.
 func (t *Targets) oneOf(list []*Target) *Target { return list[int(t.draw()*float64(len(list)))] }
 
-// leastOpen is how many of a service's live gates must be open before suspicion
-// counts for nothing. A gate on trial still takes a few retryable requests,
-// so half the floor is what may stand between it and ordinary work.
-func (t *Targets) leastOpen(live int) float64 { return *t.floorShare.Load() * float64(live) / 2 }
+// minOpen returns how many of a service's live gates must be open; if fewer are, suspicion
+// is ignored. A gate on trial still gets a few retryable requests, so the bound is half
+// the floor.
+func (t *Targets) minOpen(live int) float64 { return *t.floorShare.Load() * float64(live) / 2 }
 
 func leastSuspect(list []*Target) *Target {
 	return slices.MinFunc(list, func(a, b *Target) int { return cmp.Compare(a.Status().Suspect, b.Status().Suspect) })
 }
 
-// best takes the better of two open gates, in the own data centre first.
+// best returns the better of two random open gates, preferring the own data centre.
 func (t *Targets) best(open []*Target, now time.Time) *Target {
-	median := medianPace(open, now)
+	median := medianResponseTime(open, now)
 	pool := withoutSlow(open, median, now)
 	if !t.switches.On(switches.SlowLast) {
 		pool = open
@@ -152,7 +156,7 @@
 	return a
 }
 
-// nearFirst returns the targets in the own data centre, or all if there are none.
+// nearFirst returns the endpoints in the own data centre, or all if there are none.
 func (t *Targets) nearFirst(list []*Target) []*Target {
 	if near := t.near(list); len(near) > 0 {
 		return near
@@ -160,7 +164,7 @@
 	return list
 }
 
-// near returns the targets in the own data centre.
+// near returns the endpoints in the own data centre.
 func (t *Targets) near(list []*Target) []*Target {
 	var out []*Target
 	for _, n := range list {
@@ -171,7 +175,7 @@
 	return out
 }
 
-// withoutSlow leaves out gates whose answers take far longer than the median.
+// withoutSlow filters out gates whose mean response time is far above the median.
 func withoutSlow(list []*Target, median time.Duration, now time.Time) []*Target {
 	bound := time.Duration(slowFactor * float64(median))
 	if bound == 0 {
@@ -179,18 +183,18 @@
 	}
 	var out []*Target
 	for _, n := range list {
-		if n.pace.at(now) <= bound {
+		if n.responseTime.at(now) <= bound {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// cost is the time a request would take at the gate, as far as this node can tell. A
-// gate of which nothing recent is known counts as the median.
+// cost estimates the time a request would take at the gate. A gate without a recent
+// response time counts as the median.
 func (t *Target) cost(median time.Duration, now time.Time) float64 {
 	s := t.Status()
-	mean := t.pace.at(now)
+	mean := t.responseTime.at(now)
 	if mean == 0 {
 		mean = max(median, time.Millisecond)
 	}
--- a/ingress/connection.go
+++ b/ingress/connection.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// mostPipelined is how many requests of one connection are in hand at a time.
-	mostPipelined = 32
-	// lingerTime is how long a closed connection is read on, so that bytes on their
-	// way do not reset the answer before it.
+	// maxPipelined is how many requests of one connection may be pending at a time.
+	maxPipelined = 32
+	// lingerTime is how long a connection is read after its last answer, so that bytes in
+	// transit do not reset it before the answer arrives.
 	lingerTime = 500 * time.Millisecond
 	// bufferBytes is the size of a connection's buffers: most headers fit.
 	bufferBytes = 4 << 10
 )
 
-// slot is a request's place in the order of answers.
-type slot struct {
-	method   string
-	old      bool // HTTP/1.0, or the caller closes after it.
-	last     bool // Nothing can be read behind it.
-	response chan *Response
+// pendingAnswer is a request's position in the order of answers.
+type pendingAnswer struct {
+	method     string
+	closeAfter bool // HTTP/1.0, or the caller asked to close the connection.
+	last       bool // No request is read after it.
+	response   chan *Response
 }
 
 // serverConn is a caller's connection: one goroutine reads requests, one writes
@@ -35,17 +35,17 @@
 	net.Conn
 	server  *Server
 	reader  *bufio.Reader
-	limit   *io.LimitedReader // Under reader; set anew for each part of a request.
-	slots   chan *slot
+	limit   *io.LimitedReader // Below reader; reset for each part of a request.
+	answers chan *pendingAnswer
 	mu      sync.Mutex
-	pending int  // Requests that were read and not answered.
+	pending int  // Requests that were read and are not answered.
 	closing bool // Nothing more is read from it.
 }
 
 // handle serves one connection until its last answer is sent.
 func (s *Server) handle(raw net.Conn) {
-	limit := &io.LimitedReader{R: raw, N: standardHeaderBytes}
-	c := &serverConn{Conn: raw, server: s, limit: limit, reader: bufio.NewReaderSize(limit, bufferBytes), slots: make(chan *slot, mostPipelined)}
+	limit := &io.LimitedReader{R: raw, N: defaultHeaderBytes}
+	c := &serverConn{Conn: raw, server: s, limit: limit, reader: bufio.NewReaderSize(limit, bufferBytes), answers: make(chan *pendingAnswer, maxPipelined)}
 	s.track(c, true)
 	defer s.track(c, false)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -55,7 +55,7 @@
 		c.write()
 	}()
 	gone := c.read(ctx)
-	close(c.slots)
+	close(c.answers)
 	if gone {
 		cancel()
 	}
@@ -64,60 +64,60 @@
 	c.finish()
 }
 
-// finish closes the connection without losing the answer before it.
+// finish closes the connection without losing the last answer.
 func (c *serverConn) finish() {
 	if t, ok := c.Conn.(*net.TCPConn); ok && t.CloseWrite() == nil {
 		_ = c.SetReadDeadline(time.Now().Add(lingerTime)) // Fails only on a closed connection.
-		_, _ = io.Copy(io.Discard, c.Conn)                // What comes now is not read.
+		_, _ = io.Copy(io.Discard, c.Conn)                // Later requests are discarded.
 	}
 	_ = c.Close()
 }
 
-// read takes requests until the connection ends, and reports whether the caller
-// has left.
+// read reads requests until the connection ends, and reports whether the caller closed it.
 func (c *serverConn) read(ctx context.Context) bool {
 	for {
-		if gone, ok := c.await(); !ok {
+		if gone, ok := c.awaitRequest(); !ok {
 			return gone
 		}
 		r, fault := c.request()
 		if !c.begin() {
 			if r != nil {
-				r.share.release() // It counts as not read, and nobody else gives its room back.
+				r.reservation.release() // The request is dropped; nothing else releases its memory.
 			}
 			return false
 		}
-		p := &slot{response: make(chan *Response, 1)}
+		p := &pendingAnswer{response: make(chan *Response, 1)}
 		if fault != nil {
 			p.last = true
 			p.response <- fault
-			c.slots <- p
+			c.answers <- p
 			return false
 		}
 		p.method = r.Method
-		p.old = !r.ProtoAtLeast(1, 1) || r.Close
-		p.last = p.old
-		c.slots <- p
+		p.closeAfter = !r.ProtoAtLeast(1, 1) || r.Close
+		p.last = p.closeAfter
+		c.answers <- p
 		go c.answer(ctx, p, r)
 		if p.last {
-			return c.departed()
+			return c.leavesEarly()
 		}
 	}
 }
 
-// departed waits, behind the last request, for the caller to leave early.
-func (c *serverConn) departed() bool {
+// leavesEarly waits until the last request is answered, and reports whether the caller
+// left before.
+func (c *serverConn) leavesEarly() bool {
 	c.limit.N = 1 << 20
 	_ = c.SetReadDeadline(time.Time{})
 	stop := make(chan struct{})
 	defer close(stop)
-	go c.untilAnswered(stop)
+	go c.interruptWhenAnswered(stop)
 	_, err := c.reader.ReadByte()
 	return err != nil && !errors.Is(err, context.DeadlineExceeded) && !timedOut(err)
 }
 
-// untilAnswered ends a waiting read when nothing is pending any more.
-func (c *serverConn) untilAnswered(stop chan struct{}) {
+// interruptWhenAnswered interrupts a blocked read once no request is pending.
+func (c *serverConn) interruptWhenAnswered(stop chan struct{}) {
 	t := time.NewTicker(lingerTime)
 	defer t.Stop()
 	for {
@@ -141,15 +141,15 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// await waits for the next request's first byte. ok is false when none comes;
-// gone tells whether the caller ended the connection.
-func (c *serverConn) await() (gone, ok bool) {
+// awaitRequest waits for the first byte of the next request. ok is false if none arrives;
+// gone reports whether the caller closed the connection.
+func (c *serverConn) awaitRequest() (gone, ok bool) {
 	for {
 		l := c.server.limits()
-		c.limit.N = int64(orStandard(l.HeaderBytes, standardHeaderBytes)) + bufferBytes
-		_ = c.SetReadDeadline(time.Now().Add(orStandardTime(l.IdleTimeout, standardIdleTimeout))) // As the read.
+		c.limit.N = int64(orDefault(l.HeaderBytes, defaultHeaderBytes)) + bufferBytes
+		_ = c.SetReadDeadline(time.Now().Add(orDefaultTime(l.IdleTimeout, defaultIdleTimeout))) // Fails only on a closed connection, as the read does.
 		if c.isClosing() {
-			return false, false // It may have been woken before the deadline was set.
+			return false, false // wakeReader may have run before the deadline was set.
 		}
 		_, err := c.reader.Peek(1)
 		if err == nil {
@@ -168,8 +168,8 @@
 	}
 }
 
-// begin counts a request that was read; false if the connection is closing, and
-// the request thereby not read.
+// begin counts a request as pending. It returns false if the connection is closing and the
+// request is dropped.
 func (c *serverConn) begin() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,9 +180,9 @@
 	return true
 }
 
-// answer fills the request's place in the order of answers.
-func (c *serverConn) answer(ctx context.Context, p *slot, r *parsed) {
-	defer r.share.release()
+// answer runs a request and passes its response to the writer.
+func (c *serverConn) answer(ctx context.Context, p *pendingAnswer, r *parsed) {
+	defer r.reservation.release()
 	p.response <- c.server.serve(ctx, &Request{
 		Method:     r.Method,
 		RequestURI: r.RequestURI,
@@ -198,7 +198,7 @@
 func (c *serverConn) write() {
 	out := bufio.NewWriterSize(pieceWriter{c.Conn}, bufferBytes)
 	failed := false
-	for p := range c.slots {
+	for p := range c.answers {
 		r := <-p.response
 		last := c.end(p)
 		if r == nil || failed {
@@ -206,9 +206,9 @@
 			continue
 		}
 		encode(out, r, p.method, last)
-		if len(c.slots) == 0 && out.Flush() != nil {
+		if len(c.answers) == 0 && out.Flush() != nil {
 			failed = true
-			_ = c.Conn.Close() // Its caller does not read; nothing is of use to it any more.
+			_ = c.Conn.Close() // The caller does not read, so no further answer can reach it.
 		}
 		if last {
 			c.wakeReader()
@@ -217,8 +217,8 @@
 	_ = out.Flush() // The caller may be gone.
 }
 
-// end counts a request as answered and decides whether its answer is the last.
-func (c *serverConn) end(p *slot) bool {
+// end counts a request as answered and reports whether its answer is the last one.
+func (c *serverConn) end(p *pendingAnswer) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending--
@@ -228,10 +228,10 @@
 	return c.closing && c.pending == 0
 }
 
-// wakeReader ends a read that waits for a request which is no longer wanted.
+// wakeReader interrupts a read that waits for the next request.
 func (c *serverConn) wakeReader() { _ = c.SetReadDeadline(time.Now()) }
 
-// closeIdle ends the connection if nothing is in hand.
+// closeIdle closes the connection if no request is pending.
 func (c *serverConn) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/ingress/deadline.go
+++ b/ingress/deadline.go
@@ -10,101 +10,101 @@
 )
 
 const (
-	// lateGrace is how long after the deadline an answer is awaited that the
-	// upstream was told to give by then.
+	// lateGrace is how long past the deadline the answer of a running attempt is still
+	// awaited.
 	lateGrace = 250 * time.Millisecond
-	// farShareOfAim of the route's target is how long a queue in the own data centre is
-	// preferred to a free slot in another: bytes between data centres are dear, and
-	// an answer that is in time is worth no more for being early.
-	farShareOfAim = 0.15
+	// farShareOfTarget is the share of the route's target for which a queue in the own
+	// data centre is preferred to a free slot in another one: traffic between data centres
+	// is expensive, and an answer well before the target gains nothing.
+	farShareOfTarget = 0.15
 )
 
-// tick does what is due.
-func (f *flight) tick(now time.Time) *Response {
-	if !now.Before(f.limit()) {
+// tick handles the timers that are due. It returns the final answer, if there is one.
+func (f *inFlightRequest) tick(now time.Time) *Response {
+	if !now.Before(f.answerBy()) {
 		return f.final(now)
 	}
 	for _, o := range slices.Clone(f.offers) {
-		if r := f.overdue(o, now); r != nil {
+		if r := f.handleOverdue(o, now); r != nil {
 			return r
 		}
 	}
-	if len(f.offers) == 0 && !now.Before(f.round) {
-		return f.again(now)
+	if len(f.offers) == 0 && !now.Before(f.nextRoundAt) {
+		return f.tryNext(now)
 	}
-	if f.queuedNear(now) {
+	if f.queuedTooLong(now) {
 		f.far = true
-		f.next(now)
+		f.offerNext(now)
 	}
 	return nil
 }
 
-// overdue acts on an offer that is late: its gate silent, its link away, or its
-// answer later than usual.
-func (f *flight) overdue(o *offer, now time.Time) *Response {
+// handleOverdue acts on an offer whose gate does not respond, whose link does not come
+// back, or whose answer is slow.
+func (f *inFlightRequest) handleOverdue(o *offer, now time.Time) *Response {
 	switch {
-	case !o.heard && !o.accept.IsZero() && !now.Before(o.accept) && o.state != running:
-		o.accept = time.Time{}
-		o.target.suspect(now)
-		f.forwarder.log.Info("gate silent", zap.String("attempt", f.attempt), zap.String("node", o.target.member.Name), zap.Bool("may_run", o.direct))
+	case !o.responded && !o.suspectAt.IsZero() && !now.Before(o.suspectAt) && o.state != running:
+		o.suspectAt = time.Time{}
+		o.endpoint.suspect(now)
+		f.forwarder.log.Info("gate unresponsive", zap.String("attempt", f.attempt), zap.String("node", o.endpoint.member.Name), zap.Bool("may_run", o.direct))
 		if !o.direct {
-			o.target.send(&link.Frame{Withdraw: &link.Withdraw{Key: o.key}})
+			o.endpoint.send(&link.Frame{Withdraw: &link.Withdraw{Key: o.key}})
 			return f.refused(o, notConnected, now)
 		}
 		f.hedge(now)
-	case o.state == doubtful && !now.Before(o.rejoin):
-		return f.failed(o, &link.Failed{Detail: "the link to " + o.target.member.Name + " did not come back"}, now)
-	case (o.state == running || o.direct) && !o.hedge.IsZero() && !now.Before(o.hedge):
-		o.hedge = time.Time{}
+	case o.state == unconfirmed && !now.Before(o.abandonAt):
+		return f.failed(o, &link.Failed{Detail: "the link to " + o.endpoint.member.Name + " did not come back"}, now)
+	case (o.state == running || o.direct) && !o.hedgeAt.IsZero() && !now.Before(o.hedgeAt):
+		o.hedgeAt = time.Time{}
 		f.hedge(now)
 	}
 	return nil
 }
 
-// limit is when the request must have its answer.
-func (f *flight) limit() time.Time {
+// answerBy returns when the request must be answered.
+func (f *inFlightRequest) answerBy() time.Time {
 	if f.busy() {
 		return f.deadline.Add(lateGrace)
 	}
 	return f.deadline
 }
 
-// wake is when the next thing is due.
-func (f *flight) wake() time.Time {
-	at := f.limit()
+// nextWake returns when the next timer is due.
+func (f *inFlightRequest) nextWake() time.Time {
+	at := f.answerBy()
 	sooner := func(t time.Time) {
 		if !t.IsZero() && t.Before(at) {
 			at = t
 		}
 	}
 	for _, o := range f.offers {
-		if !o.heard && o.state != running {
-			sooner(o.accept)
+		if !o.responded && o.state != running {
+			sooner(o.suspectAt)
 		}
-		if o.state == doubtful {
-			sooner(o.rejoin)
+		if o.state == unconfirmed {
+			sooner(o.abandonAt)
 		}
 		if o.state == running || o.direct {
-			sooner(o.hedge)
+			sooner(o.hedgeAt)
 		}
 	}
 	if len(f.offers) == 0 {
-		sooner(f.round)
+		sooner(f.nextRoundAt)
 	}
 	if !f.far && f.onlyWaiting() {
-		sooner(f.began.Add(f.farAfter()))
+		sooner(f.arrived.Add(f.farAfter()))
 	}
 	return at
 }
 
-// queuedNear tells whether the request has waited in its data centre for long
-// enough to be offered elsewhere.
-func (f *flight) queuedNear(now time.Time) bool {
-	return !f.far && f.onlyWaiting() && !now.Before(f.began.Add(f.farAfter()))
+// queuedTooLong reports whether the request has waited in its own data centre long enough
+// to be offered to others.
+func (f *inFlightRequest) queuedTooLong(now time.Time) bool {
+	return !f.far && f.onlyWaiting() && !now.Before(f.arrived.Add(f.farAfter()))
 }
 
-// farAfter is how long a request that waits in a queue of its own data centre is
-// not offered elsewhere.
-func (f *flight) farAfter() time.Duration {
-	return time.Duration(farShareOfAim * float64(f.route.Target))
+// farAfter returns how long a request that is queued in its own data centre is not offered
+// to others.
+func (f *inFlightRequest) farAfter() time.Duration {
+	return time.Duration(farShareOfTarget * float64(f.route.Target))
 }
--- a/ingress/deliver.go
+++ b/ingress/deliver.go
@@ -2,35 +2,35 @@
 
 import "eiderfold/link"
 
-// register lets messages about an offer reach its request, until unregister.
-func (f *Forwarder) register(k link.Key, fl *flight) {
+// register routes messages about an offer to its request until unregister is called.
+func (f *Forwarder) register(k link.Key, req *inFlightRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.flights[k.Number] = fl
+	f.requests[k.Number] = req
 }
 
-// unregister drops what else comes about an offer.
+// unregister makes Deliver drop later messages about an offer.
 func (f *Forwarder) unregister(k link.Key) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.flights, k.Number)
+	delete(f.requests, k.Number)
 }
 
-// Deliver takes a gate's message about an offer.
+// Deliver passes a gate's message about an offer to its request.
 func (f *Forwarder) Deliver(frame *link.Frame) {
 	k, ok := keyOf(frame)
 	if !ok || k.Origin != f.origin {
 		return
 	}
 	f.mu.Lock()
-	fl := f.flights[k.Number]
+	req := f.requests[k.Number]
 	f.mu.Unlock()
-	if fl != nil {
-		fl.notify(event{frame: frame, key: k.Number})
+	if req != nil {
+		req.notify(event{frame: frame, key: k.Number})
 	}
 }
 
-// keyOf returns the offer that a gate's message is about.
+// keyOf returns the key of the offer that a gate's message is about.
 func keyOf(f *link.Frame) (link.Key, bool) {
 	switch {
 	case f.Granted != nil:
@@ -50,42 +50,43 @@
 	}
 }
 
-// notify hands an event over. The channel holds more than a request can bring; if
-// it is full nevertheless, its tick finds out by the deadlines.
-func (f *flight) notify(e event) {
+// notify queues an event. The channel has space for all events of a request; if it is full
+// nevertheless, the event is dropped and the request's timers apply.
+func (f *inFlightRequest) notify(e event) {
 	select {
 	case f.events <- e:
 	default:
 	}
 }
 
-// Connected tells that there is a way to a target's process.
+// Connected sets the link to an endpoint's process and notifies the requests in flight.
 func (f *Forwarder) Connected(t *Target, sink Sink, process uint64) {
-	t.way.Store(&way{sink: sink, process: process})
-	f.tell(event{target: t})
+	t.link.Store(&gateLink{sink: sink, process: process})
+	f.broadcast(event{endpoint: t})
 }
 
-// Disconnected tells that a way is gone; one that was replaced already is not.
+// Disconnected removes a link and notifies the requests in flight. It ignores a link that
+// has been replaced already.
 func (f *Forwarder) Disconnected(t *Target, sink Sink) {
-	w := t.way.Load()
-	if w == nil || w.sink != sink || !t.way.CompareAndSwap(w, nil) {
+	l := t.link.Load()
+	if l == nil || l.sink != sink || !t.link.CompareAndSwap(l, nil) {
 		return
 	}
-	f.tell(event{target: t, lost: true})
+	f.broadcast(event{endpoint: t, lost: true})
 }
 
-// Finish has every request in flight answered with what is known of it now.
-func (f *Forwarder) Finish() { f.tell(event{finish: true}) }
+// Finish ends every request in flight with what is known of its outcome.
+func (f *Forwarder) Finish() { f.broadcast(event{finish: true}) }
 
-// tell hands an event to every request once, however many offers it has.
-func (f *Forwarder) tell(e event) {
+// broadcast notifies every request once, however many offers it has.
+func (f *Forwarder) broadcast(e event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	told := map[*flight]bool{}
-	for _, fl := range f.flights {
-		if !told[fl] {
-			told[fl] = true
-			fl.notify(e)
+	notified := map[*inFlightRequest]bool{}
+	for _, req := range f.requests {
+		if !notified[req] {
+			notified[req] = true
+			req.notify(e)
 		}
 	}
 }
--- a/ingress/doc.go
+++ b/ingress/doc.go
@@ -1,15 +1,15 @@
-// Package ingress takes callers' requests on one node and sees each to an answer:
-// it finds the route, offers the request to gates until one grants a slot, commits
-// it to that one, and repeats or hedges what may run more than once, within the
-// fleet's budget.
+// Package ingress accepts callers' requests on one node and forwards them. It matches
+// the route, offers the request to gates until one grants a slot, commits it to that
+// gate, and repeats or hedges requests that may run more than once, within the fleet's
+// repeat budget.
 //
-// What is certain about a request follows from its commits alone: without any, it
-// has not run. A commit whose gate cannot be heard is asked for when the link is
-// back; only when the gate's process is gone does the outcome stay unknown.
+// A request without a commit has not run. If the link to the gate of a committed request
+// breaks, the outcome is queried when the link is back; it stays unknown if the link does
+// not come back in time or the gate's process has been replaced.
 //
 // # Usage
 //
-//	f := ingress.NewForwarder("births", targets, budget, platform.Headers{}, log, counters)
+//	f := ingress.NewForwarder("births", endpoints, platform.Headers{}, log, counters)
 //	f.SetTable(table)
 //	s := ingress.NewServer(f.Serve, limits)
 //	err := s.Serve(listener) // Returns when the listener is closed.
--- a/ingress/encode.go
+++ b/ingress/encode.go
@@ -7,12 +7,12 @@
 	"strconv"
 )
 
-// encode writes an answer with a length, whatever framing the upstream used.
+// encode writes an answer with a Content-Length, whatever framing the upstream used.
 func encode(out *bufio.Writer, r *Response, method string, last bool) {
 	h := http.Header(r.Header)
 	switch {
 	case method == http.MethodHead:
-		// The length is that of the body which is not sent.
+		// The upstream's Content-Length describes the body that is not sent.
 	case r.Status == http.StatusNoContent || r.Status == http.StatusNotModified:
 		h.Del("Content-Length")
 	default:
@@ -21,7 +21,7 @@
 	if last {
 		h.Set("Connection", "close")
 	}
-	// A bufio.Writer keeps its first error, which the flush returns.
+	// The writer keeps its first error, which Flush returns.
 	fmt.Fprintf(out, "HTTP/1.1 %d %s\r\n", r.Status, http.StatusText(r.Status))
 	_ = h.Write(out)
 	_, _ = out.WriteString("\r\n")
--- a/ingress/explain.go
+++ b/ingress/explain.go
@@ -9,12 +9,12 @@
 	"eiderfold/link"
 )
 
-// explain logs what became of a request and why. An answer that came in time is
-// only counted at the usual level of the log.
-func (f *Forwarder) explain(r *Request, fl *flight, answer *Response) {
+// explain counts and logs the outcome of a request and its causes. Answers in time are
+// logged only at debug level.
+func (f *Forwarder) explain(r *Request, req *inFlightRequest, answer *Response) {
 	took := time.Since(r.Arrived)
 	f.counters.Observe("request", took)
-	outcome := outcomeOf(fl, answer, took)
+	outcome := outcomeOf(req, answer, took)
 	f.counters.Count("request_" + outcome)
 	level := zap.InfoLevel
 	if outcome == answeredInTime {
@@ -34,8 +34,8 @@
 	if answer != nil && answer.own {
 		fields = append(fields, zap.Stringer("result", answer.code))
 	}
-	if fl != nil {
-		fields = append(fields, fl.story()...)
+	if req != nil {
+		fields = append(fields, req.logFields()...)
 	}
 	line.Write(fields...)
 }
@@ -45,43 +45,43 @@
 	answeredInTime = "answered"
 	answeredLate   = "late"
 	failedRequest  = "failed"
-	refusedRequest = "refused" // By what it asks or who asks, not for want of room.
+	refusedRequest = "refused" // Because of the request or its caller, not for lack of capacity.
 	callerGone     = "abandoned"
 )
 
-func outcomeOf(fl *flight, answer *Response, took time.Duration) string {
+func outcomeOf(req *inFlightRequest, answer *Response, took time.Duration) string {
 	switch {
 	case answer == nil:
 		return callerGone
 	case answer.own && answer.Status < http.StatusInternalServerError:
 		return refusedRequest
-	case fl == nil || answer.Status >= http.StatusInternalServerError:
+	case req == nil || answer.Status >= http.StatusInternalServerError:
 		return failedRequest
-	case fl.route.Target > 0 && took > fl.route.Target:
+	case req.route.Target > 0 && took > req.route.Target:
 		return answeredLate
 	default:
 		return answeredInTime
 	}
 }
 
-// story is what decided about the request, for its log line.
-func (f *flight) story() []zap.Field {
-	fields := []zap.Field{zap.String("route", f.route.Name), zap.String("service", f.service), zap.Int("offers", f.made),
+// logFields returns the fields that explain the request's outcome in its log line.
+func (f *inFlightRequest) logFields() []zap.Field {
+	fields := []zap.Field{zap.String("route", f.route.Name), zap.String("service", f.service), zap.Int("offers", f.offersMade),
 		zap.Int("runs", f.runs), zap.Strings("gates", f.gates)}
 	if f.account != nil {
 		fields = append(fields, zap.String("account", f.account.Name))
 	}
-	if !f.committed.IsZero() {
-		fields = append(fields, zap.Duration("waited", f.committed.Sub(f.began)))
+	if !f.committedAt.IsZero() {
+		fields = append(fields, zap.Duration("waited", f.committedAt.Sub(f.arrived)))
 	}
-	if f.last != link.ReasonNone {
-		fields = append(fields, zap.Stringer("refused", f.last))
+	if f.lastRefusal != link.ReasonNone {
+		fields = append(fields, zap.Stringer("refused", f.lastRefusal))
 	}
-	if f.doubt != "" {
-		fields = append(fields, zap.String("doubt", f.doubt))
+	if f.unknownReason != "" {
+		fields = append(fields, zap.String("doubt", f.unknownReason))
 	}
-	if f.doubt != "" || f.held > 0 {
-		fields = append(fields, zap.Stringer("request", f.print()))
+	if f.unknownReason != "" || f.quarantineLeft > 0 {
+		fields = append(fields, zap.Stringer("request", f.fingerprint()))
 	}
 	return fields
 }
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -21,74 +21,76 @@
 )
 
 const (
-	// assumedPatience is how long a request is held when neither caller nor route say.
-	assumedPatience = 30 * time.Second
-	// eventsKept is how many messages of gates may wait for one request; each of
-	// its few offers brings at most three.
-	eventsKept = 64
+	// defaultCallerTimeout applies if neither the caller nor the route sets a timeout.
+	defaultCallerTimeout = 30 * time.Second
+	// eventBuffer is how many events may wait for one request; each of its few offers gets
+	// at most three messages.
+	eventBuffer = 64
 )
 
-// Counters is told what happens, for metrics. It is what this package needs of
-// them; that package gate needs the same is chance.
+// Counters records metrics. It lists what this package needs, independently of the same
+// interface in package gate.
 type Counters interface {
 	Count(name string)
 	Observe(name string, d time.Duration)
 }
 
-// Forwarder sees requests to their answers.
+// Forwarder forwards callers' requests to gates and returns the answers.
 type Forwarder struct {
-	service  string // Beside which this node stands.
-	targets  *Targets
-	dialect  port.Dialect
-	log      *zap.Logger
-	counters Counters
-	crowded  func() bool                                  // No slot is free on the upstream beside this node.
-	parents  func(attempt string) (overload.Parent, bool) // The attempts that run on the upstream beside this node.
-	failed   func(arrived time.Time)                      // Is told of requests that failed.
-	limits   Limits
-	book     *quarantine.Book // Of requests that end upstreams.
-	table    atomic.Pointer[route.Table]
-	origin   uint64 // Of this process's offers; differs after a restart.
-	number   atomic.Uint64
-	usual    sync.Map // *core.Usual by the route's name.
-	mu       sync.Mutex
-	flights  map[uint64]*flight
+	service   string // Service of the upstream beside this node.
+	endpoints *Targets
+	dialect   port.Dialect
+	log       *zap.Logger
+	counters  Counters
+	saturated func() bool                                  // Reports whether the upstream beside this node has no free slot.
+	parents   func(attempt string) (overload.Parent, bool) // Finds an attempt that runs on the upstream beside this node.
+	failed    func(arrived time.Time)                      // Called for each failed request.
+	limits    Limits
+	tracker   *quarantine.Book // Tracks requests that crash upstreams.
+	table     atomic.Pointer[route.Table]
+	origin    uint64 // Identifies this process's offers; differs after a restart.
+	number    atomic.Uint64
+	latencies sync.Map // *core.Usual by route name.
+	mu        sync.Mutex
+	requests  map[uint64]*inFlightRequest
 }
 
-// Option changes a forwarder when it is made.
+// Option configures a Forwarder in NewForwarder.
 type Option func(*Forwarder)
 
-// WithParents tells how to find the request for which the upstream beside this node
-// makes a call, by the name that the call gives of it.
+// WithParents sets the lookup of a nested request's parent, which runs on the upstream
+// beside this node, by the parent's attempt id.
 func WithParents(f func(attempt string) (overload.Parent, bool)) Option {
 	return func(to *Forwarder) { to.parents = f }
 }
 
-// WithCrowd tells how to find out whether the upstream beside this node has no free slot.
+// WithCrowd sets the function that reports whether the upstream beside this node has no
+// free slot.
 func WithCrowd(f func() bool) Option {
-	return func(to *Forwarder) { to.crowded = f }
+	return func(to *Forwarder) { to.saturated = f }
 }
 
-// WithFailures tells who wants to know of requests that failed, by when they arrived.
+// WithFailures sets the function that is called with the arrival time of each failed
+// request.
 func WithFailures(f func(arrived time.Time)) Option {
 	return func(to *Forwarder) { to.failed = f }
 }
 
 // NewForwarder returns a forwarder without a configuration.
-func NewForwarder(service string, targets *Targets, dialect port.Dialect, log *zap.Logger, counters Counters, options ...Option) *Forwarder {
+func NewForwarder(service string, endpoints *Targets, dialect port.Dialect, log *zap.Logger, counters Counters, options ...Option) *Forwarder {
 	f := &Forwarder{
-		service:  service,
-		targets:  targets,
-		dialect:  dialect,
-		log:      log,
-		counters: counters,
-		crowded:  func() bool { return true },
-		parents:  func(string) (overload.Parent, bool) { return overload.Parent{}, false },
-		failed:   func(time.Time) {},
-		limits:   noLimits{},
-		book:     quarantine.NewBook(func([]quarantine.Command) {}),
-		origin:   rand.Uint64(),
-		flights:  map[uint64]*flight{},
+		service:   service,
+		endpoints: endpoints,
+		dialect:   dialect,
+		log:       log,
+		counters:  counters,
+		saturated: func() bool { return true },
+		parents:   func(string) (overload.Parent, bool) { return overload.Parent{}, false },
+		failed:    func(time.Time) {},
+		limits:    noLimits{},
+		tracker:   quarantine.NewBook(func([]quarantine.Command) {}),
+		origin:    rand.Uint64(),
+		requests:  map[uint64]*inFlightRequest{},
 	}
 	for _, o := range options {
 		o(f)
@@ -96,33 +98,33 @@
 	return f
 }
 
-// SetTable puts a configuration in force.
+// SetTable replaces the configuration.
 func (f *Forwarder) SetTable(t *route.Table) { f.table.Store(t) }
 
-// Table returns the configuration in force, nil if there is none.
+// Table returns the current configuration, nil if there is none.
 func (f *Forwarder) Table() *route.Table { return f.table.Load() }
 
-// Serve answers a request; nil if the caller has left.
+// Serve answers a request. It returns nil if the caller has left.
 func (f *Forwarder) Serve(ctx context.Context, r *Request) *Response {
-	fl, refused := f.prepare(r)
+	req, refused := f.prepare(r)
 	if refused != nil {
 		f.explain(r, nil, refused)
 		return refused
 	}
-	if refused := f.holdBack(fl); refused != nil {
-		f.explain(r, fl, refused)
+	if refused := f.checkQuarantine(req); refused != nil {
+		f.explain(r, req, refused)
 		return refused
 	}
-	if refused := f.admit(ctx, fl); refused != nil {
-		f.explain(r, fl, refused)
+	if refused := f.admit(ctx, req); refused != nil {
+		f.explain(r, req, refused)
 		return refused
 	}
-	if fl.ofRepeat {
+	if req.inRepeat {
 		f.count("call_of_repeat")
 	}
-	response := fl.run(ctx)
-	f.giveBack(fl)
-	f.explain(r, fl, response)
+	response := req.run(ctx)
+	f.returnUnused(req)
+	f.explain(r, req, response)
 	if response == nil {
 		return nil
 	}
@@ -132,14 +134,15 @@
 	return f.outgoing(response)
 }
 
-// prepare finds the route and its terms, or says why there is none.
-func (f *Forwarder) prepare(r *Request) (*flight, *Response) {
+// prepare matches the route and returns the in-flight request, or the refusal of a request
+// that cannot be forwarded.
+func (f *Forwarder) prepare(r *Request) (*inFlightRequest, *Response) {
 	table := f.table.Load()
 	if table == nil {
-		return nil, refusal(result.New(result.NoConfiguration, "").WithRetryAfter(backLater))
+		return nil, refusal(result.New(result.NoConfiguration, "").WithRetryAfter(shortRetryAfter))
 	}
-	terms := f.dialect.Request(r.Header)
-	if terms.Malformed || terms.Attempt == "" {
+	metadata := f.dialect.Request(r.Header)
+	if metadata.Malformed || metadata.Attempt == "" {
 		return nil, refusal(result.New(result.BadRequest, "the attempt's id or deadline cannot be read"))
 	}
 	path := r.URL.EscapedPath()
@@ -147,8 +150,8 @@
 	if !ok {
 		return nil, refusal(result.New(result.NoRoute, path))
 	}
-	parent, isCall := f.parents(terms.Parent)
-	account, refused := identify(table, matched, terms.Key, isCall)
+	parent, isNested := f.parents(metadata.Parent)
+	account, refused := identify(table, matched, metadata.Key, isNested)
 	if refused != nil {
 		return nil, refused
 	}
@@ -158,40 +161,41 @@
 	if table.HasAccounts() {
 		f.dialect.Conceal(header)
 	}
-	deadline := r.Arrived.Add(patience(terms.Patience, matched.Timeout))
-	own := overload.NewTerms(matched.Priority, r.Arrived, matched.Target, deadline).ForAccount(table.Priority(matched, account))
-	if isCall && f.targets.switches.On(switches.CallTerms) {
-		own = own.ForAccount(table.CallPriority(matched, parent.Priority)).ForCall(parent)
-	}
-	return &flight{
-		forwarder: f,
-		route:     matched,
-		service:   matched.Pick(),
-		account:   account,
-		regions:   route.RegionsOf(matched, account),
-		attempt:   terms.Attempt,
-		usual:     f.usualOf(matched),
-		content:   &link.Content{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: header, Body: r.Body},
-		began:     r.Arrived,
-		deadline:  own.Deadline(),
-		terms:     own,
-		crowded:   f.crowded,
-		ofRepeat:  parent.Repeat,
-		events:    make(chan event, eventsKept),
+	deadline := r.Arrived.Add(callerTimeout(metadata.Patience, matched.Timeout))
+	requirements := overload.NewTerms(matched.Priority, r.Arrived, matched.Target, deadline).ForAccount(table.Priority(matched, account))
+	if isNested && f.endpoints.switches.On(switches.CallTerms) {
+		requirements = requirements.ForAccount(table.CallPriority(matched, parent.Priority)).ForCall(parent)
+	}
+	return &inFlightRequest{
+		forwarder:    f,
+		route:        matched,
+		service:      matched.Pick(),
+		account:      account,
+		regions:      route.RegionsOf(matched, account),
+		attempt:      metadata.Attempt,
+		latency:      f.latencyOf(matched),
+		content:      &link.Content{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: header, Body: r.Body},
+		arrived:      r.Arrived,
+		deadline:     requirements.Deadline(),
+		requirements: requirements,
+		saturated:    f.saturated,
+		inRepeat:     parent.Repeat,
+		events:       make(chan event, eventBuffer),
 	}, nil
 }
 
-// usualOf returns a route's answer times; they outlive its configuration.
-func (f *Forwarder) usualOf(r *route.Route) *core.Usual {
-	if u, ok := f.usual.Load(r.Name); ok {
+// latencyOf returns a route's latency percentile, which is kept when the configuration
+// changes.
+func (f *Forwarder) latencyOf(r *route.Route) *core.Usual {
+	if u, ok := f.latencies.Load(r.Name); ok {
 		return u.(*core.Usual)
 	}
-	u, _ := f.usual.LoadOrStore(r.Name, &core.Usual{})
+	u, _ := f.latencies.LoadOrStore(r.Name, &core.Usual{})
 	return u.(*core.Usual)
 }
 
-// patience is the shorter of what the caller waits and what the operator allows.
-func patience(caller, operator time.Duration) time.Duration {
+// callerTimeout returns the shorter of the caller's and the operator's timeout.
+func callerTimeout(caller, operator time.Duration) time.Duration {
 	switch {
 	case caller > 0 && operator > 0:
 		return min(caller, operator)
@@ -200,7 +204,7 @@
 	case operator > 0:
 		return operator
 	default:
-		return assumedPatience
+		return defaultCallerTimeout
 	}
 }
 
@@ -215,7 +219,7 @@
 	return r
 }
 
-func (f *Forwarder) key() link.Key {
+func (f *Forwarder) newKey() link.Key {
 	return link.Key{Origin: f.origin, Number: f.number.Add(1)}
 }
 
--- /dev/null
+++ b/ingress/inflight.go
@@ -0,0 +1,203 @@
+package ingress
+
+import (
+	"context"
+	"time"
+
+	"eiderfold/core"
+	"eiderfold/link"
+	"eiderfold/overload"
+	"eiderfold/quarantine"
+	"eiderfold/result"
+	"eiderfold/route"
+	"eiderfold/switches"
+)
+
+// event is a gate's message about an offer, a change of the link to a gate, or the end of
+// the node.
+type event struct {
+	frame    *link.Frame
+	key      uint64
+	lost     bool
+	endpoint *Target // Endpoint whose link was lost or is back.
+	finish   bool    // The node shuts down: the request ends with what is known of its outcome.
+}
+
+// inFlightRequest is a request that has no final answer yet.
+type inFlightRequest struct {
+	forwarder      *Forwarder
+	route          *route.Route
+	service        string
+	account        *route.Account // Of the caller, nil without one.
+	regions        route.Regions  // Where it may run.
+	attempt        string
+	content        *link.Content
+	latency        *core.Usual // Latency percentile of the route.
+	arrived        time.Time
+	deadline       time.Time
+	requirements   overload.Terms
+	saturated      func() bool // Reports whether the upstream beside this node has no free slot.
+	events         chan event
+	offers         []*offer
+	tried          []*Target
+	offersMade     int                // Offers made, in all rounds.
+	runs           int                // Attempts that may have run.
+	deliveries     int                // Times it reached an upstream, including refusals.
+	inRepeat       bool               // Nested in a repeated attempt.
+	budgetDenials  int                // Gates that had no budget for the current repeat.
+	far            bool               // Offered to other data centres after a long wait.
+	nextRoundAt    time.Time          // When a new round of offers may begin.
+	pause          time.Duration      // Pause before the latest round.
+	lastRefusal    link.Reason        // Reason of the latest refusal.
+	minRetryAfter  time.Duration      // Shortest retry-after of a refusing gate, 0 for none.
+	fallback       *Response          // Answer unless a repeat gets a better one.
+	finalResponse  *Response          // Final answer, if sending a message ended the request.
+	gates          []string           // Where it was committed, for the log.
+	committedAt    time.Time          // When it was first committed.
+	repeatCause    string             // Why it is repeated.
+	unknownReason  string             // Why an attempt's outcome is unknown.
+	record         *quarantine.Record // Crash record, if an upstream crashed while running it.
+	quarantineLeft time.Duration      // Remaining time in quarantine, 0 for none.
+}
+
+// run processes the request until its final answer. It returns nil if the caller has left.
+func (f *inFlightRequest) run(ctx context.Context) *Response {
+	defer f.withdrawAll()
+	f.offerNext(time.Now())
+	timer := time.NewTimer(time.Until(f.nextWake()))
+	defer timer.Stop()
+	for f.finalResponse == nil {
+		var r *Response
+		select {
+		case e := <-f.events:
+			r = f.handle(e, time.Now())
+		case <-timer.C:
+			r = f.tick(time.Now())
+		case <-ctx.Done():
+			return nil
+		}
+		if r != nil {
+			return r
+		}
+		timer.Reset(time.Until(f.nextWake()))
+	}
+	return f.finalResponse
+}
+
+// offerNext offers the request to another gate.
+func (f *inFlightRequest) offerNext(now time.Time) {
+	if f.budgetDenials >= maxBudgetDenials {
+		return
+	}
+	c := f.forwarder.endpoints.choose(f.criteria(now), now)
+	switch {
+	case c.noneEligible && f.deliveries == 0 && len(f.offers) == 0:
+		// Waiting for another round would only delay the caller's retry elsewhere.
+		f.end(refusal(result.New(result.NoUpstream, f.service).WithRetryAfter(f.retryAfter())))
+		return
+	case c.endpoint == nil:
+		f.nextRound(now)
+		return
+	}
+	f.send(c, now)
+}
+
+// criteria returns what is required of the next gate.
+func (f *inFlightRequest) criteria(now time.Time) criteria {
+	return criteria{
+		service:     f.service,
+		retryable:   f.route.Retryable,
+		allowTrials: f.runs+1 < f.route.Attempts && !f.forwarder.endpoints.budgetExhausted(f.service, now),
+		priority:    f.requirements.Priority(),
+		nearOnly:    len(f.offers) > 0 && !f.busy() && now.Before(f.arrived.Add(f.farAfter())) && f.forwarder.endpoints.switches.On(switches.Near),
+		tried:       f.tried,
+		regions:     f.regions,
+	}
+}
+
+// handle processes an event. It returns the final answer, if there is one.
+func (f *inFlightRequest) handle(e event, now time.Time) *Response {
+	if e.finish {
+		return f.final(now)
+	}
+	if e.endpoint != nil {
+		return f.linkChanged(e, now)
+	}
+	o := f.find(e.key)
+	if o == nil {
+		return nil
+	}
+	o.responded = true
+	switch {
+	case e.frame.Granted != nil:
+		f.granted(o, e.frame.Granted.Started, now)
+	case e.frame.Queued != nil:
+		f.queued(o, now)
+	case e.frame.Refused != nil:
+		f.lastRefusal = e.frame.Refused.Reason
+		f.noteBudget(now)
+		f.noteRetryAfter(e.frame.Refused.After)
+		o.endpoint.noteRefusal(e.frame.Refused, f.requirements.Priority(), now)
+		return f.refused(o, e.frame.Refused, now)
+	case e.frame.Answer != nil:
+		return f.answered(o, e.frame.Answer, now)
+	case e.frame.Silent != nil:
+		f.upstreamUnresponsive(o, now)
+	case e.frame.Failed != nil:
+		return f.failed(o, e.frame.Failed, now)
+	}
+	return nil
+}
+
+// granted commits the request to the gate, unless another attempt runs that is not slow
+// yet.
+func (f *inFlightRequest) granted(o *offer, started bool, now time.Time) {
+	switch {
+	case o.state == running || o.state == unconfirmed:
+		o.state = running
+	case started:
+		o.state = running
+		f.withdrawOthers()
+	case f.busy() && !f.mayHedge(now):
+		f.withdraw(o)
+	default:
+		f.commit(o, now)
+	}
+}
+
+// commit commits a granted offer and cancels the others.
+func (f *inFlightRequest) commit(o *offer, now time.Time) {
+	o.state = running
+	repeat := f.repeats()
+	if f.deliveries > 0 {
+		f.forwarder.count("repeat_" + f.repeatCause)
+	}
+	f.noteRun(o, now)
+	f.withdrawOthers()
+	left := f.deadline.Sub(now)
+	if !o.endpoint.send(&link.Frame{Commit: &link.Commit{Key: o.key, Left: left, Content: f.content, Repeat: repeat}}) {
+		f.end(f.linkBroken(o, now))
+	}
+}
+
+// repeats reports whether an attempt that starts now is a repeat or nested in a repeated
+// attempt. Its own nested requests then count as repeated, too.
+func (f *inFlightRequest) repeats() bool { return f.deliveries > 0 || f.inRepeat }
+
+// end stores a final answer that resulted from sending a message, for run to return.
+func (f *inFlightRequest) end(r *Response) {
+	if r != nil {
+		f.finalResponse = r
+	}
+}
+
+// queued offers the request to another gate while it waits in this one's queue.
+func (f *inFlightRequest) queued(o *offer, now time.Time) {
+	if o.direct {
+		f.undoRun(o, false)
+	}
+	o.state = waiting
+	if len(f.offers) < maxOffers && !f.busy() {
+		f.offerNext(now)
+	}
+}
--- a/ingress/offer.go
+++ b/ingress/offer.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// acceptTime is how long a gate may take to answer an offer. Between data
-	// centres a round trip is 3 ms; a lost packet is sent again after 200 ms.
-	acceptTime = 120 * time.Millisecond
-	// mostOffers is how many gates may have an offer of one request at a time.
-	mostOffers = 3
+	// offerTimeout is how long a gate may take to respond to an offer. Between data
+	// centres a round trip is 3 ms; a lost packet is retransmitted after 200 ms.
+	offerTimeout = 120 * time.Millisecond
+	// maxOffers is how many gates may have an offer of one request at a time.
+	maxOffers = 3
 )
 
 type offerState uint8
@@ -22,94 +22,95 @@
 	offered offerState = iota
 	waiting            // In the gate's queue.
 	running
-	doubtful // Committed, and the link broke.
+	unconfirmed // Committed; outcome unknown because the link broke.
 )
 
-// offer is one gate's part in a request.
+// offer is a request's offer to one gate.
 type offer struct {
-	target  *Target
-	process uint64 // Of the gate; another one knows nothing of the offer.
-	key     link.Key
-	state   offerState
-	direct  bool      // It carried the content and may start without a commit.
-	heard   bool      // The gate has answered it.
-	accept  time.Time // When silence makes the gate suspect.
-	started time.Time // When it was committed, or sent with its content.
-	hedge   time.Time // When a second one may be sent.
-	rejoin  time.Time // When a doubtful one is given up.
+	endpoint  *Target
+	process   uint64 // Of the gate; a restarted gate has no record of the offer.
+	key       link.Key
+	state     offerState
+	direct    bool      // It carried the content and may start without a commit.
+	responded bool      // The gate has responded.
+	suspectAt time.Time // When the gate becomes suspected unless it responds.
+	started   time.Time // When it was committed, or sent with its content.
+	hedgeAt   time.Time // When a hedge may be sent.
+	abandonAt time.Time // When an unconfirmed offer is abandoned.
 }
 
-// send offers the request to the chosen gate. A retryable one takes its content to
-// the first gate, which saves a round trip where a slot is free.
-func (f *flight) send(c choice, now time.Time) {
-	w := c.target.way.Load()
-	f.tried = append(f.tried, c.target)
-	if w == nil {
+// send offers the request to the selected gate. The first offer of a retryable request
+// carries its content, which saves a round trip if a slot is free.
+func (f *inFlightRequest) send(c selection, now time.Time) {
+	l := c.endpoint.link.Load()
+	f.tried = append(f.tried, c.endpoint)
+	if l == nil {
 		f.nextRound(now)
 		return
 	}
-	o := &offer{target: c.target, process: w.process, key: f.forwarder.key(), accept: now.Add(acceptTime)}
-	message := f.message(o, c.force, now)
-	if f.route.Retryable && f.made == 0 {
+	o := &offer{endpoint: c.endpoint, process: l.process, key: f.forwarder.newKey(), suspectAt: now.Add(offerTimeout)}
+	message := f.offerMessage(o, c.force, now)
+	if f.route.Retryable && f.offersMade == 0 {
 		message.Content = f.content
 		o.direct = true
-		f.count(o, now)
+		f.noteRun(o, now)
 	}
-	f.made++
+	f.offersMade++
 	f.offers = append(f.offers, o)
-	c.target.inFlight.Add(1)
+	c.endpoint.inFlight.Add(1)
 	f.forwarder.register(o.key, f)
-	if !w.sink.Send(&link.Frame{Offer: message}) {
+	if !l.sink.Send(&link.Frame{Offer: message}) {
 		f.end(f.refused(o, notConnected, now))
 	}
 }
 
-// message is the offer as its gate gets it, without content.
-func (f *flight) message(o *offer, force bool, now time.Time) *link.Offer {
+// offerMessage returns the message for an offer, without content.
+func (f *inFlightRequest) offerMessage(o *offer, force bool, now time.Time) *link.Offer {
 	return &link.Offer{
 		Key:           o.key,
 		Attempt:       f.attempt,
 		Service:       f.service,
-		Upstream:      o.target.Status().Upstream,
+		Upstream:      o.endpoint.Status().Upstream,
 		CallerService: f.forwarder.service,
 		Left:          f.deadline.Sub(now),
-		Priority:      f.terms.Priority(),
+		Priority:      f.requirements.Priority(),
 		Retryable:     f.route.Retryable,
 		Force:         force,
-		Aim:           cmp.Or(f.terms.Aim().Sub(now), -1),
+		Aim:           cmp.Or(f.requirements.Aim().Sub(now), -1),
 		Kind:          f.route.Kind(),
-		Claim:         f.claim(),
+		Claim:         f.attemptKind(),
 		Account:       f.accountName(),
 		Record:        f.record,
 	}
 }
 
-// count takes note that an offer may run from now on.
-func (f *flight) count(o *offer, now time.Time) {
+// noteRun records that an offer may run from now on.
+func (f *inFlightRequest) noteRun(o *offer, now time.Time) {
 	f.runs++
-	f.arrivals++
-	f.gates = append(f.gates, o.target.member.Name)
-	if f.committed.IsZero() {
-		f.committed = now
+	f.deliveries++
+	f.gates = append(f.gates, o.endpoint.member.Name)
+	if f.committedAt.IsZero() {
+		f.committedAt = now
 	}
 	o.started = now
-	f.denied = 0
-	o.hedge = now.Add(time.Duration(hedgeFactor * float64(f.usual.Cut())))
+	f.budgetDenials = 0
+	o.hedgeAt = now.Add(time.Duration(hedgeFactor * float64(f.latency.Cut())))
 }
 
-// uncount takes note that it did not run after all.
-func (f *flight) uncount(o *offer, reached bool) {
+// undoRun records that an offer has not run after all. reached reports whether the request
+// got as far as an upstream.
+func (f *inFlightRequest) undoRun(o *offer, reached bool) {
 	f.runs--
 	if f.gates = f.gates[:len(f.gates)-1]; len(f.gates) == 0 {
-		f.committed = time.Time{}
+		f.committedAt = time.Time{}
 	}
 	if !reached {
-		f.arrivals--
+		f.deliveries--
 	}
 	o.direct = false
 }
 
-func (f *flight) find(key uint64) *offer {
+func (f *inFlightRequest) find(key uint64) *offer {
 	for _, o := range f.offers {
 		if o.key.Number == key {
 			return o
@@ -118,18 +119,18 @@
 	return nil
 }
 
-// busy tells whether an attempt may be running.
-func (f *flight) busy() bool {
+// busy reports whether an attempt may be running.
+func (f *inFlightRequest) busy() bool {
 	for _, o := range f.offers {
-		if o.state == running || o.state == doubtful || o.direct {
+		if o.state == running || o.state == unconfirmed || o.direct {
 			return true
 		}
 	}
 	return false
 }
 
-// onlyWaiting tells whether all offers wait in queues.
-func (f *flight) onlyWaiting() bool {
+// onlyWaiting reports whether all offers wait in queues.
+func (f *inFlightRequest) onlyWaiting() bool {
 	for _, o := range f.offers {
 		if o.state != waiting {
 			return false
@@ -138,29 +139,29 @@
 	return len(f.offers) > 0
 }
 
-// forget takes an offer out that has its end.
-func (f *flight) forget(o *offer) {
+// removeOffer removes a finished offer.
+func (f *inFlightRequest) removeOffer(o *offer) {
 	f.offers = slices.DeleteFunc(f.offers, func(p *offer) bool { return p == o })
-	o.target.inFlight.Add(-1)
+	o.endpoint.inFlight.Add(-1)
 	f.forwarder.unregister(o.key)
 }
 
-// withdraw gives an offer up that has no end yet.
-func (f *flight) withdraw(o *offer) {
-	o.target.send(&link.Frame{Withdraw: &link.Withdraw{Key: o.key}})
-	f.forget(o)
+// withdraw cancels an unfinished offer.
+func (f *inFlightRequest) withdraw(o *offer) {
+	o.endpoint.send(&link.Frame{Withdraw: &link.Withdraw{Key: o.key}})
+	f.removeOffer(o)
 }
 
-// withdrawOthers gives up what was offered and does not run.
-func (f *flight) withdrawOthers() {
+// withdrawOthers cancels the offers that are not running.
+func (f *inFlightRequest) withdrawOthers() {
 	for _, o := range slices.Clone(f.offers) {
-		if o.state != running && o.state != doubtful && !o.direct {
+		if o.state != running && o.state != unconfirmed && !o.direct {
 			f.withdraw(o)
 		}
 	}
 }
 
-func (f *flight) withdrawAll() {
+func (f *inFlightRequest) withdrawAll() {
 	for _, o := range slices.Clone(f.offers) {
 		f.withdraw(o)
 	}
--- a/ingress/outcome.go
+++ b/ingress/outcome.go
@@ -8,89 +8,90 @@
 	"eiderfold/result"
 )
 
-// notConnected stands for the refusal of a gate that was not reached.
+// notConnected is the refusal that is assumed for a gate that was not reached.
 var notConnected = &link.Refused{Reason: link.ReasonNotConnected}
 
-// refused takes an offer out that has not run.
-func (f *flight) refused(o *offer, m *link.Refused, now time.Time) *Response {
-	if o.state == running || o.direct || o.state == doubtful {
-		f.uncount(o, m.Reason == link.ReasonShed || m.Reason == link.ReasonMisdirected)
+// refused handles the refusal of an offer, which has not run.
+func (f *inFlightRequest) refused(o *offer, m *link.Refused, now time.Time) *Response {
+	if o.state == running || o.direct || o.state == unconfirmed {
+		f.undoRun(o, m.Reason == link.ReasonShed || m.Reason == link.ReasonMisdirected)
 	}
-	f.forget(o)
+	f.removeOffer(o)
 	if m.Reason == link.ReasonQuarantined {
-		return f.heldBack(m, now)
+		return f.refusedQuarantined(m, now)
 	}
 	if len(f.offers) > 0 {
-		f.hedgeOn(now)
+		f.continueHedge(now)
 		return nil
 	}
-	return f.again(now)
+	return f.tryNext(now)
 }
 
-// answered returns the answer, unless it is an error that a repeat may better.
-func (f *flight) answered(o *offer, a *link.Answer, now time.Time) *Response {
-	f.forget(o)
-	o.target.pace.note(a.Usual, now)
+// answered returns the answer, unless it is an error and the request may be repeated.
+func (f *inFlightRequest) answered(o *offer, a *link.Answer, now time.Time) *Response {
+	f.removeOffer(o)
+	o.endpoint.responseTime.note(a.Usual, now)
 	r := &Response{Status: a.Status, Header: a.Header, Body: a.Body}
 	if a.Status < http.StatusInternalServerError {
-		f.usual.Add(now.Sub(o.started))
+		f.latency.Add(now.Sub(o.started))
 		return r
 	}
 	f.fallback = r
-	f.cause = causeError
+	f.repeatCause = causeError
 	if !f.mayRepeat(now) {
-		return f.onlyIfAlone(r)
+		return f.unlessBusy(r)
 	}
-	return f.again(now)
+	return f.tryNext(now)
 }
 
-// onlyIfAlone returns an answer unless another attempt may bring a better one.
-func (f *flight) onlyIfAlone(r *Response) *Response {
+// unlessBusy returns a response unless another attempt may bring a better one.
+func (f *inFlightRequest) unlessBusy(r *Response) *Response {
 	if f.busy() {
 		return nil
 	}
 	return r
 }
 
-// failed repeats what may have run, if it may run again.
-func (f *flight) failed(o *offer, m *link.Failed, now time.Time) *Response {
-	f.forget(o)
-	f.doubt = m.Detail
-	f.cause = causeFailure
-	if f.noteEnd(m.Record, now) || !f.mayRepeat(now) {
-		return f.onlyIfAlone(f.final(now))
+// failed handles an attempt of unknown outcome: it repeats the request if it may run
+// again.
+func (f *inFlightRequest) failed(o *offer, m *link.Failed, now time.Time) *Response {
+	f.removeOffer(o)
+	f.unknownReason = m.Detail
+	f.repeatCause = causeFailure
+	if f.noteCrash(m.Record, now) || !f.mayRepeat(now) {
+		return f.unlessBusy(f.final(now))
 	}
-	return f.again(now)
+	return f.tryNext(now)
 }
 
-// comeBack is when a caller that is refused now shall come back. Milliseconds are enough.
-func (f *flight) comeBack() time.Duration {
-	return f.terms.ComeBack(f.soonest, f.forwarder.targets.draw()).Round(time.Millisecond)
+// retryAfter returns the retry-after of a refusal, in whole milliseconds.
+func (f *inFlightRequest) retryAfter() time.Duration {
+	return f.requirements.ComeBack(f.minRetryAfter, f.forwarder.endpoints.draw()).Round(time.Millisecond)
 }
 
-// noteWait takes note of when a gate that turned the request away may be asked again.
-func (f *flight) noteWait(after time.Duration) {
-	if after > 0 && (f.soonest == 0 || after < f.soonest) {
-		f.soonest = after
+// noteRetryAfter records when a gate that refused the request may be asked again.
+func (f *inFlightRequest) noteRetryAfter(after time.Duration) {
+	if after > 0 && (f.minRetryAfter == 0 || after < f.minRetryAfter) {
+		f.minRetryAfter = after
 	}
 }
 
-// final is the answer when no further attempt is made.
-func (f *flight) final(now time.Time) *Response {
+// final returns the answer when no further attempt is made.
+func (f *inFlightRequest) final(now time.Time) *Response {
 	switch {
 	case f.fallback != nil:
 		return f.fallback
 	case f.runs > 0 && !now.Before(f.deadline):
-		return refusal(result.New(result.AnswerLate, f.doubt))
+		return refusal(result.New(result.AnswerLate, f.unknownReason))
 	case f.runs > 0:
-		return refusal(result.New(result.OutcomeUnknown, f.doubt))
-	case f.held > 0:
+		return refusal(result.New(result.OutcomeUnknown, f.unknownReason))
+	case f.quarantineLeft > 0:
 		return f.quarantined()
-	case len(f.forwarder.targets.Of(f.service)) == 0:
-		return refusal(result.New(result.NoUpstream, f.service).WithRetryAfter(f.comeBack()))
-	case f.last == link.ReasonShed:
-		return refusal(result.New(result.UpstreamShed, f.service).WithRetryAfter(f.comeBack()))
+	case len(f.forwarder.endpoints.Of(f.service)) == 0:
+		return refusal(result.New(result.NoUpstream, f.service).WithRetryAfter(f.retryAfter()))
+	case f.lastRefusal == link.ReasonShed:
+		return refusal(result.New(result.UpstreamShed, f.service).WithRetryAfter(f.retryAfter()))
 	default:
-		return refusal(result.New(result.Overloaded, f.last.String()).WithRetryAfter(f.comeBack()))
+		return refusal(result.New(result.Overloaded, f.lastRefusal.String()).WithRetryAfter(f.retryAfter()))
 	}
 }
--- a/ingress/quarantine.go
+++ b/ingress/quarantine.go
@@ -8,48 +8,50 @@
 	"eiderfold/result"
 )
 
-// WithQuarantine names where it is kept which requests end upstreams; without it, only
-// what this node's own requests met is known.
+// WithQuarantine sets the shared tracker of requests that crash upstreams. The default
+// tracks only this node's own requests.
 func WithQuarantine(b *quarantine.Book) Option {
-	return func(to *Forwarder) { to.book = b }
+	return func(to *Forwarder) { to.tracker = b }
 }
 
-// print names the request, whatever its attempts are called.
-func (f *flight) print() quarantine.Print {
+// fingerprint identifies the request independently of its attempt ids.
+func (f *inFlightRequest) fingerprint() quarantine.Print {
 	return quarantine.PrintOf(f.content.Method, f.content.Host, f.content.Target, f.accountName(), f.content.Body)
 }
 
-// holdBack refuses a request under which upstreams end, before anything is spent on it.
-func (f *Forwarder) holdBack(fl *flight) *Response {
-	left := f.book.Held(time.Now(), fl.print)
+// checkQuarantine refuses a quarantined request before it is offered or counted against a
+// limit.
+func (f *Forwarder) checkQuarantine(req *inFlightRequest) *Response {
+	left := f.tracker.Held(time.Now(), req.fingerprint)
 	if left == 0 {
 		return nil
 	}
-	fl.held = left
+	req.quarantineLeft = left
 	f.count("quarantined")
-	return fl.quarantined()
+	return req.quarantined()
 }
 
-// quarantined is the answer to a request that is held and has not run.
-func (f *flight) quarantined() *Response {
-	return refusal(result.New(result.Quarantined, f.print().String()).WithRetryAfter(f.held.Round(time.Second)))
+// quarantined returns the refusal of a quarantined request that has not run.
+func (f *inFlightRequest) quarantined() *Response {
+	return refusal(result.New(result.Quarantined, f.fingerprint().String()).WithRetryAfter(f.quarantineLeft.Round(time.Second)))
 }
 
-// noteEnd takes note that an upstream ended under the request, and tells whether the
-// request is held from now on.
-func (f *flight) noteEnd(record *quarantine.Record, now time.Time) bool {
+// noteCrash records that an upstream crashed while running the request, and reports
+// whether the request is quarantined now.
+func (f *inFlightRequest) noteCrash(record *quarantine.Record, now time.Time) bool {
 	if record == nil {
 		return false
 	}
 	f.record = record
-	f.forwarder.book.Heard(now, *record)
-	f.held = f.forwarder.book.Held(now, f.print)
-	return f.held > 0
+	f.forwarder.tracker.Heard(now, *record)
+	f.quarantineLeft = f.forwarder.tracker.Held(now, f.fingerprint)
+	return f.quarantineLeft > 0
 }
 
-// heldBack ends a request that a gate refused as held: no other gate is asked.
-func (f *flight) heldBack(m *link.Refused, now time.Time) *Response {
-	f.held = m.After
+// refusedQuarantined ends a request that a gate refused as quarantined. No other gate is
+// asked.
+func (f *inFlightRequest) refusedQuarantined(m *link.Refused, now time.Time) *Response {
+	f.quarantineLeft = m.After
 	f.withdrawOthers()
-	return f.onlyIfAlone(f.final(now))
+	return f.unlessBusy(f.final(now))
 }
--- a/ingress/repeat.go
+++ b/ingress/repeat.go
@@ -9,58 +9,58 @@
 )
 
 const (
-	// mostDenied is how many gates are asked for a repeat that have no budget for it:
-	// if three of them have none, the service has little.
-	mostDenied = 3
-	// A retryable request is sent a second time after hedgeFactor times what all
-	// but a twentieth of the route's answers take: one in fifty by chance.
+	// maxBudgetDenials is how many gates without budget are asked for a repeat: if three
+	// gates have none, the service has little left.
+	maxBudgetDenials = 3
+	// A retryable request is sent a second time after hedgeFactor times the route's 95th
+	// latency percentile, which about one in fifty normal answers exceeds.
 	hedgeFactor = 1.4
-	// hedgePause is the pause after no gate took a hedge: about one answer's time.
+	// hedgePause is the pause after no gate accepted a hedge, about one response time.
 	hedgePause = 200 * time.Millisecond
-	// roundPause is the pause after all gates refused, doubled up to roundMost.
-	roundPause = 20 * time.Millisecond
-	roundMost  = 160 * time.Millisecond
+	// roundPause is the pause after all gates refused, doubled up to maxRoundPause.
+	roundPause    = 20 * time.Millisecond
+	maxRoundPause = 160 * time.Millisecond
 )
 
-// Causes of a repeat, as counted.
+// Causes of a repeat, as named in metrics.
 const (
-	causeHedge   = "hedge"
-	causeSilent  = "silent"
-	causeError   = "after_error"
-	causeFailure = "after_failure"
+	causeHedge        = "hedge"
+	causeUnresponsive = "silent"
+	causeError        = "after_error"
+	causeFailure      = "after_failure"
 )
 
-// claim says by what right the next attempt starts.
-func (f *flight) claim() budget.Claim {
+// attemptKind returns the budget's kind of the next attempt.
+func (f *inFlightRequest) attemptKind() budget.Claim {
 	switch {
-	case f.arrivals > 0 && f.cause == causeHedge:
+	case f.deliveries > 0 && f.repeatCause == causeHedge:
 		return budget.Hedge
-	case f.arrivals > 0:
+	case f.deliveries > 0:
 		return budget.Failure
-	case f.ofRepeat:
+	case f.inRepeat:
 		return budget.Charged
 	default:
 		return budget.First
 	}
 }
 
-// noteBudget takes note of a gate that has no budget for a repeat.
-func (f *flight) noteBudget(now time.Time) {
-	if f.last != link.ReasonBudget {
+// noteBudget records a refusal by a gate that has no budget for a repeat.
+func (f *inFlightRequest) noteBudget(now time.Time) {
+	if f.lastRefusal != link.ReasonBudget {
 		return
 	}
-	f.denied++
-	f.forwarder.targets.noteSpent(f.service, now)
-	f.forwarder.count("no_budget_" + f.cause)
+	f.budgetDenials++
+	f.forwarder.endpoints.noteBudgetExhausted(f.service, now)
+	f.forwarder.count("no_budget_" + f.repeatCause)
 }
 
-// mayHedge tells whether a granted slot may be used beside an attempt that runs.
-func (f *flight) mayHedge(now time.Time) bool {
+// mayHedge reports whether a granted slot may be used in addition to a running attempt.
+func (f *inFlightRequest) mayHedge(now time.Time) bool {
 	if !f.route.Retryable || f.runs >= f.route.Attempts {
 		return false
 	}
 	for _, o := range f.offers {
-		if (o.state == running || o.direct) && now.Before(o.hedge) && o.heard {
+		if (o.state == running || o.direct) && now.Before(o.hedgeAt) && o.responded {
 			return false
 		}
 	}
@@ -68,91 +68,93 @@
 }
 
 // hedge offers a slow retryable request to a second gate.
-func (f *flight) hedge(now time.Time) {
-	if f.mayRepeat(now) && len(f.offers) < mostOffers && f.forwarder.targets.switches.On(switches.Hedges) {
-		f.cause = causeHedge
-		f.next(now)
+func (f *inFlightRequest) hedge(now time.Time) {
+	if f.mayRepeat(now) && len(f.offers) < maxOffers && f.forwarder.endpoints.switches.On(switches.Hedges) {
+		f.repeatCause = causeHedge
+		f.offerNext(now)
 	}
 }
 
-// silent repeats a request whose gate says that its upstream does not answer. That
-// is better evidence than a late answer, and has the budget of a failure.
-func (f *flight) silent(o *offer, now time.Time) {
-	o.hedge = time.Time{}
+// upstreamUnresponsive repeats a request whose gate reports that its upstream does not
+// respond. This is better evidence than a late answer, so the repeat uses the budget of a
+// failure.
+func (f *inFlightRequest) upstreamUnresponsive(o *offer, now time.Time) {
+	o.hedgeAt = time.Time{}
 	if f.mayRepeat(now) && len(f.offers) == 1 {
-		f.cause = causeSilent
-		f.next(now)
+		f.repeatCause = causeUnresponsive
+		f.offerNext(now)
 	}
 }
 
-// hedgeOn goes on with a hedge that a gate has refused: at another gate, or after a
-// pause when none is left.
-func (f *flight) hedgeOn(now time.Time) {
-	beside := f.cause == causeHedge || f.cause == causeSilent
-	if !beside || f.arrivals == 0 || f.waits() || !f.mayRepeat(now) {
+// continueHedge retries a hedge that a gate has refused: at another gate, or after a pause
+// if none is left.
+func (f *inFlightRequest) continueHedge(now time.Time) {
+	hedging := f.repeatCause == causeHedge || f.repeatCause == causeUnresponsive
+	if !hedging || f.deliveries == 0 || f.hasPendingOffer() || !f.mayRepeat(now) {
 		return
 	}
 	before := len(f.offers)
-	f.next(now)
+	f.offerNext(now)
 	if len(f.offers) > before {
 		return
 	}
-	f.denied = 0
+	f.budgetDenials = 0
 	f.tried = nil
 	for _, o := range f.offers {
-		o.hedge = now.Add(hedgePause)
-		f.tried = append(f.tried, o.target)
+		o.hedgeAt = now.Add(hedgePause)
+		f.tried = append(f.tried, o.endpoint)
 	}
 }
 
-// waits tells whether an offer is neither running nor answered.
-func (f *flight) waits() bool {
+// hasPendingOffer reports whether an offer is neither running nor finished.
+func (f *inFlightRequest) hasPendingOffer() bool {
 	for _, o := range f.offers {
-		if o.state != running && o.state != doubtful && !o.direct {
+		if o.state != running && o.state != unconfirmed && !o.direct {
 			return true
 		}
 	}
 	return false
 }
 
-// mayRepeat tells whether the request may run once more, budget aside.
-func (f *flight) mayRepeat(now time.Time) bool {
+// mayRepeat reports whether the request may run once more, regardless of the budget.
+func (f *inFlightRequest) mayRepeat(now time.Time) bool {
 	return f.route.Retryable && f.runs < f.route.Attempts && now.Before(f.deadline)
 }
 
-// again tries the next gate, or ends the request when that is of no use.
-func (f *flight) again(now time.Time) *Response {
+// tryNext tries the next gate, or ends the request if waiting for another round is of no
+// use.
+func (f *inFlightRequest) tryNext(now time.Time) *Response {
 	if len(f.offers) == 0 {
-		f.next(now)
+		f.offerNext(now)
 	}
-	if len(f.offers) > 0 || !f.round.Before(now) && !f.hopeless(now) {
+	if len(f.offers) > 0 || !f.nextRoundAt.Before(now) && !f.waitExpired(now) {
 		return nil
 	}
 	return f.final(now)
 }
 
-// hopeless tells whether waiting for another round has gone on for long enough.
-func (f *flight) hopeless(now time.Time) bool {
-	if f.denied >= mostDenied {
+// waitExpired reports whether the request should not wait for another round.
+func (f *inFlightRequest) waitExpired(now time.Time) bool {
+	if f.budgetDenials >= maxBudgetDenials {
 		return true // No budget to send it again.
 	}
-	return !now.Before(f.keptUntil())
+	return !now.Before(f.waitUntil())
 }
 
-// keptUntil is until when a request is kept that no gate takes.
-func (f *flight) keptUntil() time.Time {
-	return f.terms.KeptUntil(f.runs > 0, f.crowded())
+// waitUntil returns until when a request waits that no gate accepts.
+func (f *inFlightRequest) waitUntil() time.Time {
+	return f.requirements.KeptUntil(f.runs > 0, f.saturated())
 }
 
-// nextRound lets all gates be asked again after a pause.
-func (f *flight) nextRound(now time.Time) {
-	if len(f.offers) > 0 || now.Before(f.round) {
+// nextRound schedules another round of offers to all gates after a pause.
+func (f *inFlightRequest) nextRound(now time.Time) {
+	if len(f.offers) > 0 || now.Before(f.nextRoundAt) {
 		return
 	}
-	f.pause = min(max(roundPause, 2*f.pause), roundMost)
-	f.round = now.Add(f.pause)
-	if last := f.keptUntil(); now.Before(last) && last.Before(f.round) {
-		f.round = last
+	f.pause = min(max(roundPause, 2*f.pause), maxRoundPause)
+	f.nextRoundAt = now.Add(f.pause)
+	if last := f.waitUntil(); now.Before(last) && last.Before(f.nextRoundAt) {
+		f.nextRoundAt = last
 	}
 	f.tried = nil
 }
--- a/ingress/replay_test.go
+++ b/ingress/replay_test.go
@@ -21,71 +21,71 @@
 
 const (
 	replayHost = "office.example"
-	// replayDelay is what a message between two nodes takes, and replayFar between data
-	// centres.
+	// replayDelay is the latency of a message between two nodes, and replayFar the latency
+	// between data centres.
 	replayDelay = 300 * time.Microsecond
 	replayFar   = 1500 * time.Microsecond
 	replayTick  = 50 * time.Millisecond
 	replayShed  = time.Millisecond // An upstream sheds at once.
 	replayHang  = time.Minute
-	replaySlack = 20 // The fleet's repeats beside its ratio, a gate.
+	replaySlack = 20 // Repeats per gate that the budget allows beyond its ratio.
 	replayRatio = 0.2
 )
 
-// replay plays a load against the decisions alone: admissions and flights are told what
-// happens in simulated time, one event after the other. Nothing waits and nothing runs
-// beside anything else, so a replay repeats to the last digit.
+// replay runs a scenario against the decision logic alone: admissions and in-flight
+// requests get events in simulated time, one after the other. Nothing runs concurrently,
+// so a replay is deterministic.
 type replay struct {
-	load    load
-	random  *rand.Rand
-	now     time.Time
-	begin   time.Time
-	events  eventHeap
-	number  uint64
-	gates   []*replayGate
-	nodes   []*replayNode
-	parents map[string]overload.Parent
-	totals  map[string]*totals
-	kinds   map[uint32]routeLoad
-}
-
-// totals are what became of a route's requests.
+	scenario scenario
+	random   *rand.Rand
+	now      time.Time
+	begin    time.Time
+	events   eventHeap
+	number   uint64
+	gates    []*replayGate
+	nodes    []*replayNode
+	parents  map[string]overload.Parent
+	totals   map[string]*totals
+	kinds    map[uint32]routeLoad
+}
+
+// totals holds the results of a route's requests.
 type totals struct {
-	asked, inTime, late, refused, failed int
-	told                                 []time.Duration // From arrival until a refusal.
+	total, inTime, late, refused, failed int
+	refusalTimes                         []time.Duration // From arrival until a refusal.
 }
 
-// replayNode is where a data centre's requests arrive.
+// replayNode is a node that receives a data centre's requests.
 type replayNode struct {
 	replay    *replay
 	centre    string
 	forwarder *Forwarder
-	flights   map[uint64]*replayFlight // By the offer's number.
+	requests  map[uint64]*replayRequest // By the offer's number.
 }
 
-// replayFlight is a request in flight.
-type replayFlight struct {
-	*flight
+// replayRequest is a request in flight.
+type replayRequest struct {
+	*inFlightRequest
 	node  *replayNode
-	wakes uint64 // The latest wake-up; earlier ones are void.
+	wakes uint64 // Number of the latest wake-up; earlier ones are ignored.
 	done  func(ok bool)
 	ended bool
 }
 
-// after lets something happen later.
+// after schedules do to run after d.
 func (p *replay) after(d time.Duration, do func()) {
 	p.number++
-	heap.Push(&p.events, timed{at: p.now.Add(d), number: p.number, do: do})
+	heap.Push(&p.events, timedEvent{at: p.now.Add(d), number: p.number, do: do})
 }
 
-// newReplay starts the gates of a load, with some mechanisms off.
-func newReplay(l load, seed uint64, off ...string) (*replay, error) {
+// newReplay sets up the nodes and gates of a scenario, with some mechanisms off.
+func newReplay(l scenario, seed uint64, off ...string) (*replay, error) {
 	set, err := switches.Off(off...)
 	if err != nil {
 		return nil, err
 	}
 	begin := time.Unix(1_000_000, 0)
-	p := &replay{load: l, random: rand.New(rand.NewPCG(seed, 7)), now: begin, begin: begin, parents: map[string]overload.Parent{}, totals: map[string]*totals{}, kinds: map[uint32]routeLoad{}}
+	p := &replay{scenario: l, random: rand.New(rand.NewPCG(seed, 7)), now: begin, begin: begin, parents: map[string]overload.Parent{}, totals: map[string]*totals{}, kinds: map[uint32]routeLoad{}}
 	table, err := route.New(l.document())
 	if err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 	}
 	for _, n := range p.nodes {
 		for _, g := range p.gates {
-			n.learn(g)
+			n.addEndpoint(g)
 		}
 	}
 	for _, r := range l.Routes {
@@ -118,7 +118,7 @@
 	targets := NewTargets(centre, 0.7)
 	targets.SetSwitches(set)
 	targets.draw = p.random.Float64
-	n := &replayNode{replay: p, centre: centre, flights: map[uint64]*replayFlight{}}
+	n := &replayNode{replay: p, centre: centre, requests: map[uint64]*replayRequest{}}
 	n.forwarder = NewForwarder("caller", targets, platform.Headers{}, zap.NewNop(), noCounts{},
 		WithParents(func(attempt string) (overload.Parent, bool) {
 			parent, ok := p.parents[attempt]
@@ -128,11 +128,11 @@
 	return n
 }
 
-// run plays the load to its end.
+// run runs the scenario to its end.
 func (p *replay) run() {
-	end := p.begin.Add(p.load.Length)
+	end := p.begin.Add(p.scenario.Length)
 	for len(p.events) > 0 {
-		e := heap.Pop(&p.events).(timed)
+		e := heap.Pop(&p.events).(timedEvent)
 		if e.at.After(end) {
 			return
 		}
@@ -141,12 +141,12 @@
 	}
 }
 
-// elapsed is the time since the beginning.
+// elapsed returns the time since the beginning.
 func (p *replay) elapsed() time.Duration { return p.now.Sub(p.begin) }
 
-// arrive lets a route's next request come, and so on.
+// arrive schedules the next request of a route, which in turn schedules the one after it.
 func (p *replay) arrive(r routeLoad) {
-	gap := p.random.ExpFloat64() / (r.Rate * p.load.factor(p.elapsed()))
+	gap := p.random.ExpFloat64() / (r.Rate * p.scenario.factor(p.elapsed()))
 	p.after(time.Duration(gap*float64(time.Second)), func() {
 		p.number++
 		n := p.nodes[p.random.IntN(len(p.nodes))]
@@ -155,16 +155,16 @@
 	})
 }
 
-// ask sends a request; done is told whether it was answered.
+// ask sends a request. done gets whether it was answered.
 func (p *replay) ask(n *replayNode, r routeLoad, attempt string, caller *replayGate, done func(ok bool)) {
-	counted := p.elapsed() >= p.load.Count.From && p.elapsed() < p.load.Count.To
-	fl, refused := n.forwarder.prepare(&Request{Method: http.MethodGet, RequestURI: r.path(), URL: &url.URL{Path: r.path()}, Host: replayHost,
+	counted := p.elapsed() >= p.scenario.Count.From && p.elapsed() < p.scenario.Count.To
+	req, refused := n.forwarder.prepare(&Request{Method: http.MethodGet, RequestURI: r.path(), URL: &url.URL{Path: r.path()}, Host: replayHost,
 		Header: http.Header{"Attempt-Id": {attempt}, "Deadline-Ms": {strconv.FormatInt(r.Timeout.Milliseconds(), 10)}}, Arrived: p.now})
 	if refused != nil {
-		panic("the load's own request was refused: " + string(refused.Body))
+		panic("request of the scenario was refused: " + string(refused.Body))
 	}
 	arrived := p.now
-	f := &replayFlight{flight: fl, node: n}
+	f := &replayRequest{inFlightRequest: req, node: n}
 	f.done = func(ok bool) {
 		if counted {
 			p.totals[r.Name].add(f, ok, p.now.Sub(arrived), r.Target)
@@ -172,25 +172,25 @@
 		done(ok)
 	}
 	if caller != nil {
-		fl.crowded = caller.admission.Crowded
+		req.saturated = caller.admission.Crowded
 	}
-	fl.next(p.now)
+	req.offerNext(p.now)
 	f.track()
 }
 
-// merge adds another count.
+// merge adds the results in o.
 func (t *totals) merge(o *totals) {
-	t.asked += o.asked
+	t.total += o.total
 	t.inTime += o.inTime
 	t.late += o.late
 	t.refused += o.refused
 	t.failed += o.failed
-	t.told = append(t.told, o.told...)
+	t.refusalTimes = append(t.refusalTimes, o.refusalTimes...)
 }
 
-// add counts a request that has its end.
-func (t *totals) add(f *replayFlight, ok bool, took, target time.Duration) {
-	t.asked++
+// add counts a finished request.
+func (t *totals) add(f *replayRequest, ok bool, took, target time.Duration) {
+	t.total++
 	switch {
 	case ok && took <= target:
 		t.inTime++
@@ -198,27 +198,27 @@
 		t.late++
 	case f.runs == 0:
 		t.refused++
-		t.told = append(t.told, took)
+		t.refusalTimes = append(t.refusalTimes, took)
 	default:
 		t.failed++
 	}
 }
 
-// track takes note of new offers and of the next wake-up.
-func (f *replayFlight) track() {
+// track registers new offers and schedules the next wake-up.
+func (f *replayRequest) track() {
 	if f.ended {
 		return
 	}
 	for _, o := range f.offers {
-		f.node.flights[o.key.Number] = f
+		f.node.requests[o.key.Number] = f
 	}
-	if f.flight.ended != nil {
-		f.end(f.flight.ended)
+	if f.inFlightRequest.finalResponse != nil {
+		f.end(f.inFlightRequest.finalResponse)
 		return
 	}
 	f.wakes++
 	wake := f.wakes
-	f.node.replay.after(max(f.wake().Sub(f.node.replay.now), 0), func() {
+	f.node.replay.after(max(f.nextWake().Sub(f.node.replay.now), 0), func() {
 		if f.ended || wake != f.wakes {
 			return
 		}
@@ -226,8 +226,8 @@
 	})
 }
 
-// step ends the request if there is an answer.
-func (f *replayFlight) step(r *Response) {
+// step ends the request if there is an answer, and tracks it otherwise.
+func (f *replayRequest) step(r *Response) {
 	if r != nil {
 		f.end(r)
 		return
@@ -235,18 +235,18 @@
 	f.track()
 }
 
-func (f *replayFlight) end(r *Response) {
+func (f *replayRequest) end(r *Response) {
 	f.ended = true
 	f.withdrawAll()
 	f.done(r.Status < http.StatusInternalServerError)
 }
 
-// deliver takes a gate's message.
+// deliver passes a gate's message to its request.
 func (n *replayNode) deliver(frame *link.Frame) {
 	k, _ := keyOf(frame)
-	f := n.flights[k.Number]
+	f := n.requests[k.Number]
 	if f == nil || f.ended {
 		return
 	}
-	f.step(f.on(event{frame: frame, key: k.Number}, n.replay.now))
+	f.step(f.handle(event{frame: frame, key: k.Number}, n.replay.now))
 }
--- a/ingress/replayevents_test.go
+++ b/ingress/replayevents_test.go
@@ -4,13 +4,13 @@
 	"time"
 )
 
-type timed struct {
+type timedEvent struct {
 	at     time.Time
 	number uint64
 	do     func()
 }
 
-type eventHeap []timed
+type eventHeap []timedEvent
 
 func (h eventHeap) Len() int { return len(h) }
 func (h eventHeap) Less(i, j int) bool {
@@ -20,7 +20,7 @@
 	return h[i].number < h[j].number
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(timed)) }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(timedEvent)) }
 func (h *eventHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
--- a/ingress/replaygate_test.go
+++ b/ingress/replaygate_test.go
@@ -27,7 +27,7 @@
 	runs      map[link.Key]*replayRun
 }
 
-// replayRun is an offer in hand, and its run once it has one.
+// replayRun is an offer at a gate, and its run once it has started.
 type replayRun struct {
 	node  *replayNode
 	offer *link.Offer
@@ -37,7 +37,7 @@
 func (p *replay) newGate(service string, s serviceLoad, i int, set switches.Set) *replayGate {
 	b := budget.New(replayRatio, float64(replaySlack*s.Gates), time.Time{})
 	b.NoteGates(s.Gates)
-	g := &replayGate{replay: p, service: service, centre: p.load.centres()[i%p.load.Centres], slots: s.Slots, index: i, runs: map[link.Key]*replayRun{}}
+	g := &replayGate{replay: p, service: service, centre: p.scenario.centres()[i%p.scenario.Centres], slots: s.Slots, index: i, runs: map[link.Key]*replayRun{}}
 	g.admission = gate.NewAdmission(service, b)
 	g.admission.SetSwitches(set)
 	g.update(gate.Reported{At: p.now, Report: port.Report{Incarnation: port.Incarnation{ID: "i-" + g.name()}, Service: service, Slots: s.Slots, Sequence: 1}})
@@ -53,36 +53,36 @@
 	g.replay.after(replayTick, g.tick)
 }
 
-// learn lets a node know a gate.
-func (n *replayNode) learn(g *replayGate) {
+// addEndpoint adds a gate to the node's endpoints.
+func (n *replayNode) addEndpoint(g *replayGate) {
 	target := NewTarget(link.Member{Name: g.name(), Service: g.service, DataCentre: g.centre})
 	target.SetStatus(g.admission.Status(), n.replay.now)
-	n.forwarder.targets.Add(target)
-	n.forwarder.Connected(target, replayWay{node: n, gate: g}, 1)
+	n.forwarder.endpoints.Add(target)
+	n.forwarder.Connected(target, replaySink{node: n, gate: g}, 1)
 }
 
-// replayWay carries messages from a node to a gate.
-type replayWay struct {
+// replaySink sends a node's messages to a gate.
+type replaySink struct {
 	node *replayNode
 	gate *replayGate
 }
 
-func (w replayWay) Send(f *link.Frame) bool {
+func (w replaySink) Send(f *link.Frame) bool {
 	w.node.replay.after(w.delay(), func() { w.gate.handle(w.node, f) })
 	return true
 }
 
-// Ponged returns the present: no node of a replay stands still.
-func (w replayWay) Ponged() time.Time { return w.node.replay.now }
+// Ponged returns the current time: every node of a replay responds.
+func (w replaySink) Ponged() time.Time { return w.node.replay.now }
 
-func (w replayWay) delay() time.Duration {
+func (w replaySink) delay() time.Duration {
 	if w.node.centre == w.gate.centre {
 		return replayDelay
 	}
 	return replayFar
 }
 
-// handle takes a node's message.
+// handle processes a node's message.
 func (g *replayGate) handle(from *replayNode, f *link.Frame) {
 	now := g.replay.now
 	switch {
@@ -99,18 +99,18 @@
 	}
 }
 
-// update moves the admission on and carries its commands out.
+// update passes a message to the admission and executes the resulting commands.
 func (g *replayGate) update(m gate.Message) {
 	for _, c := range g.admission.Update(m) {
 		switch c := c.(type) {
 		case gate.Grant:
-			g.tell(c.Key, &link.Frame{Granted: &link.Granted{Key: c.Key}})
+			g.send(c.Key, &link.Frame{Granted: &link.Granted{Key: c.Key}})
 		case gate.Queue:
-			g.tell(c.Key, &link.Frame{Queued: &link.Queued{Key: c.Key}})
+			g.send(c.Key, &link.Frame{Queued: &link.Queued{Key: c.Key}})
 		case gate.Refuse:
-			g.tell(c.Key, &link.Frame{Refused: &link.Refused{Key: c.Key, Reason: c.Reason, After: c.After}})
+			g.send(c.Key, &link.Frame{Refused: &link.Refused{Key: c.Key, Reason: c.Reason, After: c.After}})
 		case gate.Warn:
-			g.tell(c.Key, &link.Frame{Silent: &link.Silent{Key: c.Key}})
+			g.send(c.Key, &link.Frame{Silent: &link.Silent{Key: c.Key}})
 		case gate.Start:
 			g.start(c.Key)
 		case gate.Abort:
@@ -121,11 +121,11 @@
 	}
 }
 
-// announce tells every node of the gate's state.
+// announce sends the gate's status to every node.
 func (g *replayGate) announce() {
 	s := g.admission.Status()
 	for _, n := range g.replay.nodes {
-		for _, t := range n.forwarder.targets.Of(g.service) {
+		for _, t := range n.forwarder.endpoints.Of(g.service) {
 			if t.Member().Name == g.name() {
 				t.SetStatus(s, g.replay.now)
 			}
@@ -133,24 +133,25 @@
 	}
 }
 
-func (g *replayGate) tell(k link.Key, f *link.Frame) {
+func (g *replayGate) send(k link.Key, f *link.Frame) {
 	r := g.runs[k]
 	if r == nil {
 		return
 	}
-	g.replay.after(replayWay{node: r.node, gate: g}.delay(), func() { r.node.deliver(f) })
+	g.replay.after(replaySink{node: r.node, gate: g}.delay(), func() { r.node.deliver(f) })
 }
 
-// start lets the upstream work: by the load it may shed, hang, break, or make a call.
+// start runs a request on the upstream. By the scenario's faults, the upstream may shed
+// it, break it or hang.
 func (g *replayGate) start(k link.Key) {
 	p, r := g.replay, g.runs[k]
 	began := p.now
 	if r.offer.Content != nil && r.offer.Retryable {
-		g.tell(k, &link.Frame{Granted: &link.Granted{Key: k, Started: true}})
+		g.send(k, &link.Frame{Granted: &link.Granted{Key: k, Started: true}})
 	}
 	kind := p.kinds[r.offer.Kind]
 	work := time.Duration(float64(kind.Work) * math.Exp(kind.Spread*p.random.NormFloat64()-kind.Spread*kind.Spread/2))
-	fault := p.load.fault(g.service, g.index, p.elapsed(), p.random)
+	fault := p.scenario.fault(g.service, g.index, p.elapsed(), p.random)
 	switch fault {
 	case "shed":
 		p.after(replayShed, func() { g.finish(k, gate.Shed, replayShed) })
@@ -163,7 +164,7 @@
 	}
 }
 
-// worked ends a run, after its calls if the route makes any.
+// worked ends a run, after its nested requests if the route makes any.
 func (g *replayGate) worked(k link.Key, kind routeLoad, began time.Time) {
 	p, r := g.replay, g.runs[k]
 	if r == nil || r.over || kind.CallTimes == 0 {
@@ -172,11 +173,11 @@
 	}
 	name := r.offer.Attempt
 	p.parents[name] = overload.Parent{Priority: r.offer.Priority, Aim: began.Add(r.offer.Aim), Deadline: began.Add(r.offer.Left)}
-	node := p.nodes[slices.Index(p.load.centres(), g.centre)]
+	node := p.nodes[slices.Index(p.scenario.centres(), g.centre)]
 	left := kind.CallTimes
 	for range kind.CallTimes {
 		p.number++
-		p.ask(node, p.load.route(kind.Calls), name+"."+strconv.FormatUint(p.number, 10), g, func(ok bool) {
+		p.ask(node, p.scenario.route(kind.Calls), name+"."+strconv.FormatUint(p.number, 10), g, func(ok bool) {
 			left--
 			switch {
 			case !ok:
@@ -191,7 +192,7 @@
 	}
 }
 
-// finish ends a run and tells the node.
+// finish ends a run and reports it to the node.
 func (g *replayGate) finish(k link.Key, o gate.Outcome, took time.Duration) {
 	r := g.runs[k]
 	if r == nil || r.over {
@@ -200,13 +201,13 @@
 	r.over = true
 	switch o {
 	case gate.Good:
-		g.tell(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusOK, Usual: g.admission.Status().Usual}})
+		g.send(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusOK, Usual: g.admission.Status().Usual}})
 	case gate.CallFailed:
-		g.tell(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusInternalServerError, Usual: g.admission.Status().Usual}})
+		g.send(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusInternalServerError, Usual: g.admission.Status().Usual}})
 	case gate.Shed:
-		g.tell(k, &link.Frame{Refused: &link.Refused{Key: k, Reason: link.ReasonShed}})
+		g.send(k, &link.Frame{Refused: &link.Refused{Key: k, Reason: link.ReasonShed}})
 	default:
-		g.tell(k, &link.Frame{Failed: &link.Failed{Key: k, Detail: o.String()}})
+		g.send(k, &link.Frame{Failed: &link.Failed{Key: k, Detail: o.String()}})
 	}
 	delete(g.runs, k)
 	g.update(gate.Ended{At: g.replay.now, Key: k, Outcome: o, Took: took})
--- a/ingress/request.go
+++ b/ingress/request.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// bodyTimeout is how long a body may take from its first byte.
+	// bodyTimeout is how long a caller may take to send a body.
 	bodyTimeout = 30 * time.Second
-	// Limits while there is no configuration.
-	standardHeaderBytes   = 64 << 10
-	standardBodyBytes     = 16 << 20
-	standardHeaderTimeout = 10 * time.Second
-	standardIdleTimeout   = 60 * time.Second
+	// Defaults for limits that no configuration sets.
+	defaultHeaderBytes   = 64 << 10
+	defaultBodyBytes     = 16 << 20
+	defaultHeaderTimeout = 10 * time.Second
+	defaultIdleTimeout   = 60 * time.Second
 )
 
-// parsed is a request with what concerns its connection.
+// parsed is a request as read from a connection, with its body.
 type parsed struct {
 	*http.Request
-	body    []byte
-	share   *share // Of the node's room for bodies, for as long as it is held.
-	arrived time.Time
+	body        []byte
+	reservation *reservation // Memory reserved for the body.
+	arrived     time.Time
 }
 
-// request reads one request whole, or says what is wrong with it.
+// request reads one request with its body, or returns the refusal of an invalid one.
 func (c *serverConn) request() (*parsed, *Response) {
 	l := c.server.limits()
-	_ = c.SetReadDeadline(time.Now().Add(orStandardTime(l.HeaderTimeout, standardHeaderTimeout))) // As the read.
+	_ = c.SetReadDeadline(time.Now().Add(orDefaultTime(l.HeaderTimeout, defaultHeaderTimeout))) // Fails only on a closed connection, as the read does.
 	r, err := http.ReadRequest(c.reader)
 	switch {
 	case err != nil && c.limit.N <= 0:
@@ -46,28 +46,28 @@
 	case !strings.HasPrefix(r.RequestURI, "/") || r.Host == "":
 		return nil, refusal(result.New(result.BadRequest, "no path or no host"))
 	}
-	p := &parsed{Request: r, share: &share{room: c.server.room}}
+	p := &parsed{Request: r, reservation: &reservation{memory: c.server.bodyMemory}}
 	fault := c.body(p, l)
 	if fault != nil {
-		p.share.release()
+		p.reservation.release()
 	}
 	p.arrived = time.Now()
 	return p, fault
 }
 
-// body reads a request's body whole, or says what is wrong with it.
+// body reads a request's body, or returns the refusal if it is invalid, late or too large.
 func (c *serverConn) body(r *parsed, l route.Limits) *Response {
-	most := l.BodyBytes
-	if most == 0 {
-		most = standardBodyBytes
+	limit := l.BodyBytes
+	if limit == 0 {
+		limit = defaultBodyBytes
 	}
-	if r.ContentLength > most {
+	if r.ContentLength > limit {
 		return refusal(result.New(result.BodyTooLarge, ""))
 	}
 	if r.Body == http.NoBody {
 		return nil
 	}
-	c.limit.N = most + most/8 + bufferBytes // The marks between chunks come on top.
+	c.limit.N = limit + limit/8 + bufferBytes // Leaves space for chunk headers.
 	_ = c.SetReadDeadline(time.Now().Add(bodyTimeout))
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
 		if _, err := io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
@@ -75,12 +75,12 @@
 		}
 	}
 	var err error
-	r.body, err = r.readBody(most)
+	r.body, err = r.readBody(limit)
 	switch {
-	case int64(len(r.body)) > most:
+	case int64(len(r.body)) > limit:
 		return refusal(result.New(result.BodyTooLarge, ""))
-	case errors.Is(err, errNoRoom):
-		return c.noRoom()
+	case errors.Is(err, errNoMemory):
+		return c.refuseBody()
 	case timedOut(err):
 		return refusal(result.New(result.SlowCaller, "the body did not come in time"))
 	case err != nil:
@@ -89,34 +89,35 @@
 	return nil
 }
 
-// readBody reads at most one byte more than most. Room is taken for what has come, so that
-// a slow sender keeps no more than it has sent from others.
-func (r *parsed) readBody(most int64) ([]byte, error) {
+// readBody reads at most limit+1 bytes. It reserves memory as bytes arrive, so that a slow
+// sender holds no memory for bytes it has not sent.
+func (r *parsed) readBody(limit int64) ([]byte, error) {
 	var body bytes.Buffer
 	if r.ContentLength > 0 {
-		body.Grow(int(min(r.ContentLength, roomStep)) + bytes.MinRead) // Most fit, and need no second copy.
+		body.Grow(int(min(r.ContentLength, reserveStep)) + bytes.MinRead) // Most bodies fit and need no second copy.
 	}
-	from := &stepReader{from: r.Body, share: r.share}
-	_, err := body.ReadFrom(io.LimitReader(from, most+1))
+	from := &reservingReader{from: r.Body, reservation: r.reservation}
+	_, err := body.ReadFrom(io.LimitReader(from, limit+1))
 	return body.Bytes(), err
 }
 
-// noRoom refuses a request whose body finds no memory. Nothing was sent anywhere.
-func (c *serverConn) noRoom() *Response {
-	c.server.noRoom()
-	return refusal(result.New(result.Overloaded, "no room for the body").WithRetryAfter(backLater))
+// refuseBody refuses a request for lack of memory. The request has not been offered to any
+// gate.
+func (c *serverConn) refuseBody() *Response {
+	c.server.onBodyRefused()
+	return refusal(result.New(result.Overloaded, "no room for the body").WithRetryAfter(shortRetryAfter))
 }
 
-func orStandard(n, standard int) int {
+func orDefault(n, fallback int) int {
 	if n > 0 {
 		return n
 	}
-	return standard
+	return fallback
 }
 
-func orStandardTime(d, standard time.Duration) time.Duration {
+func orDefaultTime(d, fallback time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
-	return standard
+	return fallback
 }
--- a/ingress/load_test.go
+++ b/ingress/scenario_test.go
@@ -16,16 +16,17 @@
 	"eiderfold/route"
 )
 
-// load is a data file: what a fleet is asked, what goes wrong, and what has to come of it.
-type load struct {
-	Seeds    uint64                 `yaml:"seeds"` // How often it is played, each time with other luck.
+// scenario is a data file: the load on a fleet, the injected faults and the expected
+// results.
+type scenario struct {
+	Seeds    uint64                 `yaml:"seeds"` // Number of runs, each with its own random seed.
 	Length   time.Duration          `yaml:"length"`
 	Centres  int                    `yaml:"data_centres"`
 	Services map[string]serviceLoad `yaml:"services"`
 	Routes   []routeLoad            `yaml:"routes"`
 	Bursts   []burst                `yaml:"bursts"`
 	Faults   []fault                `yaml:"faults"`
-	Count    Span                   `yaml:"count"` // Requests that arrive within are counted.
+	Count    Span                   `yaml:"count"` // Only requests that arrive in this span are counted.
 	Want     []expectation          `yaml:"want"`
 }
 
@@ -37,15 +38,15 @@
 type routeLoad struct {
 	Name      string        `yaml:"name"`
 	Service   string        `yaml:"service"`
-	Rate      float64       `yaml:"rate"` // Requests a second; 0 for a route of calls.
+	Rate      float64       `yaml:"rate"` // Requests per second; 0 for a route of nested requests.
 	Retryable bool          `yaml:"retryable"`
 	Priority  int           `yaml:"priority"`
 	Work      time.Duration `yaml:"work"`
-	Spread    float64       `yaml:"spread"` // Of the logarithm of the work.
+	Spread    float64       `yaml:"spread"` // Standard deviation of the logarithm of the work.
 	Target    time.Duration `yaml:"target"`
 	Timeout   time.Duration `yaml:"timeout"`
-	Calls     string        `yaml:"calls"`      // The route that a run calls at its end,
-	CallTimes int           `yaml:"call_times"` // so often at once; all have to be answered.
+	Calls     string        `yaml:"calls"`      // Route of the nested requests at the end of a run,
+	CallTimes int           `yaml:"call_times"` // and their number; they run concurrently, and all must be answered.
 }
 
 type Span struct {
@@ -53,14 +54,14 @@
 	To   time.Duration `yaml:"to"`
 }
 
-func (s Span) holds(at time.Duration) bool { return at >= s.From && at < s.To }
+func (s Span) contains(at time.Duration) bool { return at >= s.From && at < s.To }
 
 type burst struct {
 	Span  `yaml:",inline"`
 	Times float64 `yaml:"times"`
 }
 
-// fault lets a share of a service's upstreams treat a share of their work so.
+// fault makes a share of a service's upstreams mishandle a share of their work.
 type fault struct {
 	Span    `yaml:",inline"`
 	Service string  `yaml:"service"`
@@ -69,19 +70,19 @@
 	How     string  `yaml:"how"` // shed, break or hang
 }
 
-// expectation bounds what becomes of the requests of some routes, by share, and how much worse
-// it is without a mechanism.
+// expectation bounds the results of the requests of some routes, as shares of them, and
+// how much worse they are with a mechanism switched off.
 type expectation struct {
-	Routes  []string      `yaml:"routes"`
-	InTime  float64       `yaml:"in_time_least"`
-	Served  float64       `yaml:"served_least"`
-	Told    time.Duration `yaml:"told_most"` // Until nine of ten refusals.
-	Off     string        `yaml:"off"`
-	WorseBy float64       `yaml:"worse_by"` // In time, with the mechanism off.
-	FewerBy float64       `yaml:"fewer_by"` // Served, with the mechanism off.
+	Routes        []string      `yaml:"routes"`
+	InTime        float64       `yaml:"in_time_least"`
+	Served        float64       `yaml:"served_least"`
+	RefusedWithin time.Duration `yaml:"told_most"` // 90th percentile of the time until a refusal.
+	Off           string        `yaml:"off"`
+	WorseBy       float64       `yaml:"worse_by"` // Lost share of answers in time with the mechanism off.
+	FewerBy       float64       `yaml:"fewer_by"` // Lost share of served requests with the mechanism off.
 }
 
-func (l load) centres() []string {
+func (l scenario) centres() []string {
 	var out []string
 	for i := range l.Centres {
 		out = append(out, "dc-"+strconv.Itoa(i))
@@ -89,7 +90,7 @@
 	return out
 }
 
-func (l load) document() route.Document {
+func (l scenario) document() route.Document {
 	d := route.Document{Version: 1}
 	for name := range l.Services {
 		d.Services = append(d.Services, route.Service{Name: name})
@@ -101,28 +102,28 @@
 	return d
 }
 
-func (l load) route(name string) routeLoad {
+func (l scenario) route(name string) routeLoad {
 	return l.Routes[slices.IndexFunc(l.Routes, func(r routeLoad) bool { return r.Name == name })]
 }
 
-// path is that of the route's requests.
+// path returns the path of the route's requests.
 func (r routeLoad) path() string { return "/" + r.Name + "/x" }
 
-// factor is how many times the usual load comes now.
-func (l load) factor(at time.Duration) float64 {
+// factor returns by what factor bursts multiply the rates at a time.
+func (l scenario) factor(at time.Duration) float64 {
 	f := 1.0
 	for _, b := range l.Bursts {
-		if b.holds(at) {
+		if b.contains(at) {
 			f *= b.Times
 		}
 	}
 	return f
 }
 
-// fault says how an upstream treats a run that begins now, "" for well.
-func (l load) fault(service string, index int, at time.Duration, random *rand.Rand) string {
+// fault returns the fault of a run that starts now, "" for none.
+func (l scenario) fault(service string, index int, at time.Duration, random *rand.Rand) string {
 	for _, f := range l.Faults {
-		hit := f.Service == service && f.holds(at) && float64(index) < f.Gates*float64(l.Services[service].Gates)
+		hit := f.Service == service && f.contains(at) && float64(index) < f.Gates*float64(l.Services[service].Gates)
 		if hit && random.Float64() < f.Work {
 			return f.How
 		}
@@ -130,11 +131,11 @@
 	return ""
 }
 
-// outcome is what became of a load's requests, by route.
+// outcome holds the results of a scenario's requests by route.
 type outcome map[string]*totals
 
-// playLoad plays a load with each of its seeds.
-func playLoad(l load, off ...string) (outcome, error) {
+// runScenario runs a scenario with each of its seeds and sums the results.
+func runScenario(l scenario, off ...string) (outcome, error) {
 	sum := outcome{}
 	for _, r := range l.Routes {
 		sum[r.Name] = &totals{}
@@ -152,21 +153,22 @@
 	return sum, nil
 }
 
-// shares sums up what became of some routes' requests.
-func (o outcome) shares(routes []string) (inTime, served float64, told time.Duration) {
+// shares returns which shares of some routes' requests were answered in time and answered
+// at all, and the 90th percentile of the time until a refusal.
+func (o outcome) shares(routes []string) (inTime, served float64, refusedWithin time.Duration) {
 	var all totals
 	for _, name := range routes {
 		all.merge(o[name])
 	}
-	slices.Sort(all.told)
-	if len(all.told) > 0 {
-		told = all.told[len(all.told)*9/10]
+	slices.Sort(all.refusalTimes)
+	if len(all.refusalTimes) > 0 {
+		refusedWithin = all.refusalTimes[len(all.refusalTimes)*9/10]
 	}
-	return float64(all.inTime) / float64(all.asked), float64(all.inTime+all.late) / float64(all.asked), told
+	return float64(all.inTime) / float64(all.total), float64(all.inTime+all.late) / float64(all.total), refusedWithin
 }
 
-// TestReplays plays each load of testdata/replays: with every mechanism on the bounds
-// hold, and without the one that the load was written for fewer are served in time.
+// TestReplays runs each scenario of testdata/replays. Its bounds must hold with every
+// mechanism on, and the results must be worse without the mechanism that it covers.
 func TestReplays(t *testing.T) {
 	files, err := filepath.Glob("testdata/replays/*.yaml")
 	require.NoError(t, err)
@@ -175,9 +177,9 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			text, err := os.ReadFile(file)
 			require.NoError(t, err)
-			var l load
+			var l scenario
 			require.NoError(t, yaml.UnmarshalWithOptions(text, &l, yaml.Strict()))
-			with, err := playLoad(l)
+			with, err := runScenario(l)
 			require.NoError(t, err)
 			for _, w := range l.Want {
 				w.check(t, l, with)
@@ -186,22 +188,22 @@
 	}
 }
 
-func (w expectation) check(t *testing.T, l load, with outcome) {
+func (w expectation) check(t *testing.T, l scenario, with outcome) {
 	t.Helper()
-	inTime, served, told := with.shares(w.Routes)
-	t.Logf("%v: in time %.3f, served %.3f, nine of ten refusals told within %v", w.Routes, inTime, served, told)
+	inTime, served, refusedWithin := with.shares(w.Routes)
+	t.Logf("%v: in time %.3f, served %.3f, 90%% of refusals within %v", w.Routes, inTime, served, refusedWithin)
 	assert.GreaterOrEqual(t, inTime, w.InTime, "in time, %v", w.Routes)
 	assert.GreaterOrEqual(t, served, w.Served, "served, %v", w.Routes)
-	if w.Told > 0 {
-		assert.LessOrEqual(t, told, w.Told, "told, %v", w.Routes)
+	if w.RefusedWithin > 0 {
+		assert.LessOrEqual(t, refusedWithin, w.RefusedWithin, "time until refusal, %v", w.Routes)
 	}
 	if w.Off == "" {
 		return
 	}
-	without, err := playLoad(l, w.Off)
+	without, err := runScenario(l, w.Off)
 	require.NoError(t, err)
 	less, fewer, later := without.shares(w.Routes)
-	t.Logf("  without %s: in time %.3f, served %.3f, told within %v", w.Off, less, fewer, later)
+	t.Logf("  without %s: in time %.3f, served %.3f, 90%% of refusals within %v", w.Off, less, fewer, later)
 	assert.GreaterOrEqual(t, inTime-less, w.WorseBy, "%s, in time, %v", w.Off, w.Routes)
 	assert.GreaterOrEqual(t, served-fewer, w.FewerBy, "%s, served, %v", w.Off, w.Routes)
 }
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -12,43 +12,44 @@
 	"eiderfold/route"
 )
 
-// acceptPause is the pause after a failed accept, for instance without descriptors.
+// acceptPause is the pause after a failed accept, for instance when file descriptors are
+// exhausted.
 const acceptPause = 20 * time.Millisecond
 
-// Serve answers one request; nil closes the connection without an answer.
+// Serve answers one request; a nil response closes the connection without an answer.
 type Serve func(ctx context.Context, r *Request) *Response
 
-// Server speaks HTTP/1.1 with callers. Requests that are sent behind one another
-// on a connection run at the same time and are answered in their order, which
-// net/http's server does not offer.
+// Server is an HTTP/1.1 server for callers. It runs the pipelined requests of a connection
+// concurrently and answers them in order, which net/http's server does not offer.
 type Server struct {
-	serve    Serve
-	limits   func() route.Limits
-	room     *room
-	noRoom   func() // Is told of each body for which there is no memory.
-	stopping atomic.Bool
-	mu       sync.Mutex
-	conns    map[*serverConn]bool
+	serve         Serve
+	limits        func() route.Limits
+	bodyMemory    *bodyMemory
+	onBodyRefused func() // Called for each body refused for lack of memory.
+	stopping      atomic.Bool
+	mu            sync.Mutex
+	conns         map[*serverConn]bool
 }
 
-// standardRoom is how many bytes of bodies are held by a server that is told nothing else.
-const standardRoom = 64 << 20
+// defaultBodyMemory is the memory limit for request bodies, in bytes, unless WithRoom sets
+// another.
+const defaultBodyMemory = 64 << 20
 
-// ServerOption changes a server when it is made.
+// ServerOption configures a Server in NewServer.
 type ServerOption func(*Server)
 
-// WithRoom bounds the bytes of requests' bodies that are held at a time, and names who is
-// told of a body for which there is no memory.
+// WithRoom limits the memory for request bodies, in bytes. refused is called for each body
+// that is refused for lack of memory.
 func WithRoom(bytes int64, refused func()) ServerOption {
 	return func(s *Server) {
-		s.room = newRoom(bytes)
-		s.noRoom = refused
+		s.bodyMemory = newBodyMemory(bytes)
+		s.onBodyRefused = refused
 	}
 }
 
-// NewServer returns a server; limits are asked for before every request.
+// NewServer returns a server. It calls limits before it reads each request.
 func NewServer(serve Serve, limits func() route.Limits, options ...ServerOption) *Server {
-	s := &Server{serve: serve, limits: limits, room: newRoom(standardRoom), noRoom: func() {}, conns: map[*serverConn]bool{}}
+	s := &Server{serve: serve, limits: limits, bodyMemory: newBodyMemory(defaultBodyMemory), onBodyRefused: func() {}, conns: map[*serverConn]bool{}}
 	for _, o := range options {
 		o(s)
 	}
@@ -70,11 +71,11 @@
 	}
 }
 
-// Stop makes every answer the last of its connection.
+// Stop makes the server close each connection once its pending requests are answered.
 func (s *Server) Stop() { s.stopping.Store(true) }
 
-// CloseIdle closes the connections on which nothing is in hand, and returns how
-// many are left.
+// CloseIdle closes the connections without a pending request and returns how many
+// connections remain, including those that are still closing.
 func (s *Server) CloseIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,10 +85,10 @@
 	return len(s.conns)
 }
 
-func (s *Server) track(c *serverConn, there bool) {
+func (s *Server) track(c *serverConn, open bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if there {
+	if open {
 		s.conns[c] = true
 		return
 	}
--- a/ingress/server_test.go
+++ b/ingress/server_test.go
@@ -50,9 +50,9 @@
 	return &Response{Status: status, Header: http.Header{}, Body: []byte(body)}
 }
 
-// TestPipelinedRunTogether lets the first of two requests end only after the
-// second: answers still come in the order of the requests.
-func TestPipelinedRunTogether(t *testing.T) {
+// TestPipelinedRunConcurrently finishes the second of two requests before the first:
+// answers still come in the order of the requests.
+func TestPipelinedRunConcurrently(t *testing.T) {
 	second := make(chan bool)
 	_, address := testServer(t, func(_ context.Context, r *Request) *Response {
 		if r.RequestURI == "/1" {
@@ -92,7 +92,8 @@
 	}
 }
 
-// TestBadRequests are answered with the reason and the connection closed.
+// TestBadRequests checks that invalid requests get an error status and their connection is
+// closed.
 func TestBadRequests(t *testing.T) {
 	limits := route.Limits{HeaderBytes: 1024, BodyBytes: 8, HeaderTimeout: 100 * time.Millisecond}
 	_, address := testServer(t, func(context.Context, *Request) *Response { return text(200, "ran") }, limits)
@@ -125,7 +126,8 @@
 	}
 }
 
-// TestCallerLeaves cancels the request when its connection ends.
+// TestCallerLeaves checks that a request is cancelled when its caller closes the
+// connection.
 func TestCallerLeaves(t *testing.T) {
 	for _, request := range []string{"GET / HTTP/1.1\r\nHost: a\r\n\r\n", "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"} {
 		started, left := make(chan bool), make(chan bool)
@@ -150,9 +152,9 @@
 	return len(s.conns)
 }
 
-// TestStopAnswersWhatWasRead stops the server under a running request: it is
-// answered, and the answer says that the connection ends.
-func TestStopAnswersWhatWasRead(t *testing.T) {
+// TestStopAnswersPending stops the server during a request: it is answered, and the answer
+// announces that the connection closes.
+func TestStopAnswersPending(t *testing.T) {
 	started, goOn := make(chan bool), make(chan bool)
 	s, address := testServer(t, func(context.Context, *Request) *Response {
 		close(started)
@@ -164,7 +166,7 @@
 	_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	require.NoError(t, err)
 	<-started
-	// Until it is accepted, the idle connection is none that CloseIdle could close.
+	// CloseIdle closes only connections that the server has accepted.
 	require.Eventually(t, func() bool { return tracked(s) == 2 }, 5*time.Second, time.Millisecond)
 	s.Stop()
 	require.Eventually(t, func() bool { return s.CloseIdle() == 1 }, 5*time.Second, time.Millisecond, "the idle connection closes")
@@ -177,7 +179,7 @@
 	assert.True(t, r.Close)
 }
 
-// TestIdleConnectionEnds closes a connection that rests past the limit.
+// TestIdleConnectionEnds checks that a connection is closed that is idle past the limit.
 func TestIdleConnectionEnds(t *testing.T) {
 	_, address := testServer(t, func(context.Context, *Request) *Response { return text(200, "") }, route.Limits{IdleTimeout: 50 * time.Millisecond})
 	c, in := dialServer(t, address)
@@ -188,7 +190,7 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// TestHeadHasNoBody sends an answer to HEAD without its body, with its length.
+// TestHeadHasNoBody checks that an answer to HEAD has the Content-Length but no body.
 func TestHeadHasNoBody(t *testing.T) {
 	_, address := testServer(t, func(context.Context, *Request) *Response {
 		return &Response{Status: 200, Header: http.Header{"Content-Length": {"7"}}}
@@ -203,8 +205,8 @@
 	assert.Empty(t, body)
 }
 
-// FuzzServer feeds arbitrary bytes: whatever they are, the server answers with
-// HTTP or closes, and runs only requests that the reader of net/http accepts.
+// FuzzServer feeds arbitrary bytes: the server must answer with HTTP or close the
+// connection, and run only requests that net/http accepts.
 func FuzzServer(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\nGET /x HTTP/1.1\r\nHost: a\r\n\r\n"))
--- a/ingress/target.go
+++ b/ingress/target.go
@@ -12,107 +12,107 @@
 	"eiderfold/switches"
 )
 
-// refusalMost is how long a gate's refusal is taken at its word.
-const refusalMost = 250 * time.Millisecond
+// maxRefusalTime is how long a gate's refusal is respected at most.
+const maxRefusalTime = 250 * time.Millisecond
 
-// Sink is a way to a gate.
+// Sink sends messages to a gate.
 type Sink interface {
 	Send(f *link.Frame) bool
-	// Ponged returns when a ping was last replied to.
+	// Ponged returns when the gate last replied to a ping.
 	Ponged() time.Time
 }
 
-// way is a live connection to a gate's process.
-type way struct {
-	sink    Sink
-	process uint64
-	asked   atomic.Int64 // UnixNano of the ping that the gate's silence brought about, 0 for none.
+// gateLink is a live link to a gate's process.
+type gateLink struct {
+	sink     Sink
+	process  uint64
+	pingedAt atomic.Int64 // UnixNano of the ping sent when the gate became suspected, 0 for none.
 }
 
-// Target is a gate as this node sees it.
+// Target is a gate that this node can send offers to, with its last reported status.
 type Target struct {
-	member   link.Member
-	way      atomic.Pointer[way]
-	status   atomic.Pointer[link.Status]
-	suspects atomic.Int64 // UnixNano until which it is avoided.
-	pace     pace
-	inFlight atomic.Int32
-	trialAt  atomic.Int64 // UnixNano before which a try on trial is refused.
-	busyAt   atomic.Int64 // UnixNano before which its queue is full,
-	busyFor  atomic.Int32 // for this priority and less urgent ones.
+	member         link.Member
+	link           atomic.Pointer[gateLink]
+	status         atomic.Pointer[link.Status]
+	suspectedUntil atomic.Int64 // UnixNano until which it is avoided.
+	responseTime   responseTime
+	inFlight       atomic.Int32
+	noTrialUntil   atomic.Int64 // UnixNano until which the gate refuses trial requests.
+	busyUntil      atomic.Int64 // UnixNano until which its queue is full,
+	busyPriority   atomic.Int32 // for this priority and less urgent ones.
 }
 
-// refuse takes note of why the gate refused an offer of a priority.
-func (t *Target) refuse(m *link.Refused, priority int, now time.Time) {
-	at := now.Add(min(m.After, refusalMost)).UnixNano()
+// noteRefusal records why the gate refused an offer of a priority.
+func (t *Target) noteRefusal(m *link.Refused, priority int, now time.Time) {
+	at := now.Add(min(m.After, maxRefusalTime)).UnixNano()
 	switch m.Reason {
 	case link.ReasonTrial:
-		t.trialAt.Store(at)
+		t.noTrialUntil.Store(at)
 	case link.ReasonBusy:
-		t.busyFor.Store(int32(priority))
-		t.busyAt.Store(at)
+		t.busyPriority.Store(int32(priority))
+		t.busyUntil.Store(at)
 	}
 }
 
-// full tells whether an offer of a priority would be refused.
+// full reports whether an offer of a priority would be refused.
 func (t *Target) full(priority int, now time.Time) bool {
-	return now.UnixNano() < t.busyAt.Load() && int32(priority) >= t.busyFor.Load()
+	return now.UnixNano() < t.busyUntil.Load() && int32(priority) >= t.busyPriority.Load()
 }
 
-// NewTarget returns a target that cannot be reached yet.
+// NewTarget returns an endpoint without a link.
 func NewTarget(m link.Member) *Target {
 	t := &Target{member: m}
 	t.status.Store(&link.Status{})
 	return t
 }
 
-// Member returns who the target is.
+// Member returns the fleet member that the gate belongs to.
 func (t *Target) Member() link.Member { return t.member }
 
-// Status returns the gate's last word about itself.
+// Status returns the gate's last reported status.
 func (t *Target) Status() link.Status { return *t.status.Load() }
 
-// SetStatus takes the gate's word about itself.
+// SetStatus records a status reported by the gate.
 func (t *Target) SetStatus(s link.Status, now time.Time) {
 	t.status.Store(&s)
-	t.pace.note(s.Usual, now)
+	t.responseTime.note(s.Usual, now)
 }
 
-// Reachable tells whether there is a connection.
-func (t *Target) Reachable() bool { return t.way.Load() != nil }
+// Reachable reports whether there is a link to the gate.
+func (t *Target) Reachable() bool { return t.link.Load() != nil }
 
 func (t *Target) send(f *link.Frame) bool {
-	w := t.way.Load()
-	return w != nil && w.sink.Send(f)
+	l := t.link.Load()
+	return l != nil && l.sink.Send(f)
 }
 
-// Targets are all gates that this node knows, by service.
+// Targets holds all known gates by service.
 type Targets struct {
-	dataCentre string
-	floorShare atomic.Pointer[float64]
-	mu         sync.Mutex // Held by writers of services.
-	switches   switches.Set
-	services   atomic.Pointer[map[string][]*Target]
-	met        atomic.Bool              // The service's gates are known.
-	evacuated  atomic.Pointer[[]string] // Data centres that are to get nothing.
-	regions    map[string]string        // Of data centres, as far as they are known.
-	spentUntil sync.Map                 // UnixNano by service, until which its budget counts as spent.
-	draw       func() float64           // Evenly from [0, 1); tests bring their own.
+	dataCentre     string
+	floorShare     atomic.Pointer[float64]
+	mu             sync.Mutex // Held by writers of services.
+	switches       switches.Set
+	services       atomic.Pointer[map[string][]*Target]
+	joined         atomic.Bool              // The node has connected to other nodes.
+	evacuated      atomic.Pointer[[]string] // Data centres that receive no requests.
+	regions        map[string]string        // Region by data centre, where known.
+	exhaustedUntil sync.Map                 // UnixNano by service, until which its repeat budget counts as exhausted.
+	draw           func() float64           // Returns a uniform number in [0, 1); replaced in tests.
 }
 
-// noteSpent takes note that a gate of a service had no budget for a repeat.
-func (t *Targets) noteSpent(service string, now time.Time) {
-	t.spentUntil.Store(service, now.Add(spentTime).UnixNano())
+// noteBudgetExhausted records that a gate of a service had no budget for a repeat.
+func (t *Targets) noteBudgetExhausted(service string, now time.Time) {
+	t.exhaustedUntil.Store(service, now.Add(budgetBackoff).UnixNano())
 }
 
-// spent tells whether a gate of a service had no budget lately.
-func (t *Targets) spent(service string, now time.Time) bool {
-	until, ok := t.spentUntil.Load(service)
+// budgetExhausted reports whether a gate of a service recently had no budget for a repeat.
+func (t *Targets) budgetExhausted(service string, now time.Time) bool {
+	until, ok := t.exhaustedUntil.Load(service)
 	return ok && now.UnixNano() < until.(int64)
 }
 
-// NewTargets returns no targets, for a node in a data centre. The floor share is
-// the part of a service's gates that must not be set aside on suspicion.
+// NewTargets returns an empty set of endpoints for a node in a data centre. floorShare is
+// the share of a service's gates that must stay in use despite suspicion.
 func NewTargets(dataCentre string, floorShare float64) *Targets {
 	t := &Targets{dataCentre: dataCentre, draw: rand.Float64}
 	t.SetEvacuated(nil)
@@ -121,19 +121,21 @@
 	return t
 }
 
-// SetSwitches says which mechanisms are on, before the first choice.
+// SetSwitches sets which mechanisms are on. It must be called before the first selection.
 func (t *Targets) SetSwitches(s switches.Set) { t.switches = s }
 
-// SetRegions says in which regions data centres are, before the first choice.
+// SetRegions sets the region of each data centre. It must be called before the first
+// selection.
 func (t *Targets) SetRegions(ofDataCentres map[string]string) { t.regions = ofDataCentres }
 
-// SetMet says that the node has met others: a service of which it knows no gate has none.
-func (t *Targets) SetMet() { t.met.Store(true) }
+// SetMet records that the node has connected to other nodes. From then on, a request is
+// refused at once if its service has known gates but none is eligible.
+func (t *Targets) SetMet() { t.joined.Store(true) }
 
-// SetEvacuated says which data centres are to get nothing.
+// SetEvacuated sets the data centres that receive no requests.
 func (t *Targets) SetEvacuated(dataCentres []string) { t.evacuated.Store(&dataCentres) }
 
-// eligible tells whether a request may go where a target is.
+// eligible reports whether a request may be sent to an endpoint's data centre.
 func (t *Targets) eligible(n *Target, regions route.Regions) bool {
 	dataCentre := n.member.DataCentre
 	if slices.Contains(*t.evacuated.Load(), dataCentre) {
@@ -142,16 +144,17 @@
 	return !regions.Bound() || regions.Allow(t.regions[dataCentre])
 }
 
-// SetFloorShare changes the part that must not be set aside.
+// SetFloorShare sets the share of a service's gates that must stay in use despite
+// suspicion.
 func (t *Targets) SetFloorShare(share float64) { t.floorShare.Store(&share) }
 
-// Add makes a target eligible.
+// Add adds an endpoint.
 func (t *Targets) Add(n *Target) { t.edit(n, true) }
 
-// Remove takes a target out.
+// Remove removes an endpoint.
 func (t *Targets) Remove(n *Target) { t.edit(n, false) }
 
-// edit puts a copy of the map in place, so that readers need no lock.
+// edit replaces the map by a modified copy, so that readers need no lock.
 func (t *Targets) edit(n *Target, add bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,8 +172,8 @@
 	t.services.Store(&next)
 }
 
-// Of returns a service's targets.
+// Of returns a service's endpoints.
 func (t *Targets) Of(service string) []*Target { return (*t.services.Load())[service] }
 
-// Busy tells whether an offer to the gate has no end yet.
+// Busy reports whether an offer to the gate is outstanding.
 func (t *Target) Busy() bool { return t.inFlight.Load() > 0 }
--- a/ingress/target_test.go
+++ b/ingress/target_test.go
@@ -9,13 +9,13 @@
 	"eiderfold/link"
 )
 
-type deadSink struct{}
+type nopSink struct{}
 
-func (deadSink) Send(*link.Frame) bool { return true }
-func (deadSink) Ponged() time.Time     { return time.Time{} }
+func (nopSink) Send(*link.Frame) bool { return true }
+func (nopSink) Ponged() time.Time     { return time.Time{} }
 
-// gates makes reachable targets of one service: a letter each for its mode, open,
-// trial or closed, in the own data centre if it is a capital.
+// gates returns reachable endpoints of one service, one per letter: o for open, t for on
+// trial, c for closed, in the own data centre if it is a capital.
 func gates(states string) (*Targets, []*Target) {
 	targets := NewTargets("near", 0.7)
 	var all []*Target
@@ -33,23 +33,24 @@
 		}
 		n := NewTarget(link.Member{Service: "a", DataCentre: dataCentre})
 		n.SetStatus(link.Status{Mode: mode, Slots: 4, Usual: 100 * time.Millisecond}, time.Unix(1000, 0))
-		n.way.Store(&way{sink: deadSink{}})
+		n.link.Store(&gateLink{sink: nopSink{}})
 		targets.Add(n)
 		all = append(all, n)
 	}
 	return targets, all
 }
 
-// chosen counts by index who is chosen in many tries.
-func chosen(targets *Targets, all []*Target, w want) []int {
+// chosen counts by index how often each gate is selected; the last count is that of no
+// gate.
+func chosen(targets *Targets, all []*Target, crit criteria) []int {
 	now := time.Unix(1000, 0)
 	counts := make([]int, len(all)+1)
-	w.service = "a"
+	crit.service = "a"
 	for range 4000 {
-		c := targets.choose(w, now)
+		c := targets.choose(crit, now)
 		at := len(all)
 		for i, n := range all {
-			if n == c.target {
+			if n == c.endpoint {
 				at = i
 			}
 		}
@@ -58,29 +59,29 @@
 	return counts
 }
 
-func TestChoiceStaysInTheDataCentre(t *testing.T) {
+func TestSelectionStaysInTheDataCentre(t *testing.T) {
 	targets, all := gates("OOoo")
-	counts := chosen(targets, all, want{})
+	counts := chosen(targets, all, criteria{})
 	assert.Less(t, counts[2]+counts[3], 100)
-	counts = chosen(targets, all, want{tried: all[:2]})
-	assert.Greater(t, counts[2]+counts[3], 3900, "anywhere, when the near ones are full")
-	counts = chosen(targets, all, want{tried: all[:2], nearOnly: true})
-	assert.Equal(t, 4000, counts[4], "but not while a queue there is short")
+	counts = chosen(targets, all, criteria{tried: all[:2]})
+	assert.Greater(t, counts[2]+counts[3], 3900, "any gate if the near ones were asked already")
+	counts = chosen(targets, all, criteria{tried: all[:2], nearOnly: true})
+	assert.Equal(t, 4000, counts[4], "no gate of another data centre with nearOnly")
 }
 
 func TestOnlyRetryableOnTrial(t *testing.T) {
 	targets, all := gates("OOOT")
-	assert.Zero(t, chosen(targets, all, want{})[3])
-	tried := chosen(targets, all, want{retryable: true, trials: true})[3]
-	assert.Zero(t, chosen(targets, all, want{retryable: true})[3], "without budget")
+	assert.Zero(t, chosen(targets, all, criteria{})[3])
+	tried := chosen(targets, all, criteria{retryable: true, allowTrials: true})[3]
+	assert.Zero(t, chosen(targets, all, criteria{retryable: true})[3], "without budget")
 	assert.InDelta(t, 4000*trialShare, tried, 150)
 }
 
-// TestFloor forces gates on trial when too few are open.
+// TestFloor checks that gates on trial are forced to accept work when too few are open.
 func TestFloor(t *testing.T) {
 	targets, all := gates("TTTT")
-	c := targets.choose(want{service: "a"}, time.Unix(1000, 0))
-	assert.NotNil(t, c.target)
+	c := targets.choose(criteria{service: "a"}, time.Unix(1000, 0))
+	assert.NotNil(t, c.endpoint)
 	assert.True(t, c.force)
 	_ = all
 }
@@ -88,43 +89,43 @@
 func TestSlowGateIsLastResort(t *testing.T) {
 	targets, all := gates("OOO")
 	all[0].SetStatus(link.Status{Mode: link.ModeOpen, Slots: 4, Usual: time.Second}, time.Unix(1000, 0))
-	counts := chosen(targets, all, want{})
+	counts := chosen(targets, all, criteria{})
 	assert.Less(t, counts[0], 100)
-	assert.Positive(t, counts[0], "now and then it is looked at")
-	counts = chosen(targets, all, want{tried: all[1:]})
+	assert.Positive(t, counts[0], "it is explored now and then")
+	counts = chosen(targets, all, criteria{tried: all[1:]})
 	assert.Equal(t, 4000, counts[0])
 }
 
-func TestSilentGateIsAvoided(t *testing.T) {
+func TestSuspectedGateIsAvoided(t *testing.T) {
 	targets, all := gates("OO")
 	now := time.Unix(1000, 0)
 	all[0].suspect(now)
-	assert.Zero(t, chosen(targets, all, want{})[0])
-	assert.Equal(t, all[0], targets.choose(want{service: "a", tried: all[1:]}, now).target, "but for want of another")
+	assert.Zero(t, chosen(targets, all, criteria{})[0])
+	assert.Equal(t, all[0], targets.choose(criteria{service: "a", tried: all[1:]}, now).endpoint, "unless there is no other")
 }
 
 func TestClosedOrUnreachableIsNeverChosen(t *testing.T) {
 	targets, all := gates("CO")
-	all[1].way.Store(nil)
-	assert.Equal(t, 4000, chosen(targets, all, want{retryable: true})[2])
+	all[1].link.Store(nil)
+	assert.Equal(t, 4000, chosen(targets, all, criteria{retryable: true})[2])
 }
 
-// TestOldPaceIsForgotten lets a gate be slow by its last word, without work since: after
-// a while it is chosen as others are, or it would never show that it has recovered.
-func TestOldPaceIsForgotten(t *testing.T) {
+// TestOldResponseTimeExpires guards against never selecting a gate again that was slow at
+// its last answer, so that its recovery goes unnoticed.
+func TestOldResponseTimeExpires(t *testing.T) {
 	targets, all := gates("OOO")
 	now := time.Unix(1000, 0)
-	all[0].SetStatus(link.Status{Mode: link.ModeOpen, Slots: 4, Usual: time.Second}, now.Add(-paceTrust))
-	counts := chosen(targets, all, want{})
+	all[0].SetStatus(link.Status{Mode: link.ModeOpen, Slots: 4, Usual: time.Second}, now.Add(-responseTimeTTL))
+	counts := chosen(targets, all, criteria{})
 	assert.InDelta(t, 4000/3, counts[0], 300)
 }
 
-// TestUnknownPaceIsNoAdvantage compares a gate that has never told its answer times
-// with others that have.
-func TestUnknownPaceIsNoAdvantage(t *testing.T) {
+// TestUnknownResponseTimeIsNoAdvantage guards against preferring a gate that has not
+// reported a response time.
+func TestUnknownResponseTimeIsNoAdvantage(t *testing.T) {
 	targets, all := gates("OOO")
-	all[0].pace.mean.Store(0)
-	all[0].pace.until.Store(0)
-	counts := chosen(targets, all, want{})
+	all[0].responseTime.mean.Store(0)
+	all[0].responseTime.until.Store(0)
+	counts := chosen(targets, all, criteria{})
 	assert.InDelta(t, 4000/3, counts[0], 300)
 }
--- /dev/null
+++ b/ingress/unresponsive.go
@@ -0,0 +1,64 @@
+package ingress
+
+import (
+	"time"
+
+	"eiderfold/link"
+)
+
+const (
+	// suspicionTime is how long a gate is avoided that did not respond to an offer in
+	// time.
+	suspicionTime = 1 * time.Second
+	// pingTimeout is how long a suspected gate may take to reply to a ping, the same as
+	// for an offer.
+	pingTimeout = offerTimeout
+)
+
+// suspect marks a gate that did not respond to an offer in time and pings it. Without the
+// ping, only further requests would find out whether the gate has recovered.
+func (t *Target) suspect(now time.Time) {
+	t.suspectedUntil.Store(now.Add(suspicionTime).UnixNano())
+	l := t.link.Load()
+	if l == nil || !l.unansweredPing().IsZero() {
+		return
+	}
+	l.pingedAt.Store(now.UnixNano())
+	l.sink.Send(&link.Frame{Ping: &link.Ping{}})
+}
+
+// suspected reports whether the gate is to be avoided.
+func (t *Target) suspected(now time.Time) bool {
+	return now.UnixNano() < t.suspectedUntil.Load() || !t.AskedAt().IsZero()
+}
+
+// unresponsive reports whether a ping reply is overdue, so that no request should wait for
+// the gate.
+func (t *Target) unresponsive(now time.Time) bool {
+	pinged := t.AskedAt()
+	return !pinged.IsZero() && !now.Before(pinged.Add(pingTimeout))
+}
+
+// AskedAt returns when the ping was sent that a suspected gate has not replied to; the
+// zero time if there is none.
+func (t *Target) AskedAt() time.Time {
+	l := t.link.Load()
+	if l == nil {
+		return time.Time{}
+	}
+	return l.unansweredPing()
+}
+
+// unansweredPing returns when the ping was sent that has no reply; the zero time if there
+// is none.
+func (l *gateLink) unansweredPing() time.Time {
+	pinged := l.pingedAt.Load()
+	if pinged == 0 {
+		return time.Time{}
+	}
+	at := time.Unix(0, pinged)
+	if !l.sink.Ponged().Before(at) {
+		return time.Time{}
+	}
+	return at
+}
