--- a/route/account.go
+++ b/route/account.go
@@ -6,33 +6,33 @@
 	"strconv"
 )
 
-// Account is a client account: who may call, and how much.
+// Account is a client account with its keys, priority and limits.
 type Account struct {
 	Name     string
-	Keys     []string // Each lets its bearer call for the account.
-	Priority int      // 0 goes first; it goes before the route's.
-	Rate     float64  // Requests a second over all nodes; 0 for no limit.
-	Burst    float64  // Requests above the rate that may come at once.
-	Regions  []string // In which its requests may run; none: in all.
+	Keys     []string // Each authenticates a caller as this account.
+	Priority int      // 0 is the most urgent; takes precedence over the route's.
+	Rate     float64  // Requests per second over all nodes; 0 for no limit.
+	Burst    float64  // Requests above the rate that may arrive at once.
+	Regions  []string // Regions in which its requests may run; all if empty.
 }
 
-// Limited tells whether the account has a limit.
+// Limited reports whether the account has a rate limit.
 func (a *Account) Limited() bool { return a.Rate > 0 }
 
-// digest is a key as a table holds it. Tables show no key to whoever reads the memory
-// or a dump of it, and a look-up takes as long whichever part of a key was right.
+// digest is the SHA-256 hash of a key. Storing digests keeps keys out of memory dumps, and
+// the time of a look-up does not depend on how much of a key is right.
 type digest [sha256.Size]byte
 
 func digestOf(key string) digest { return sha256.Sum256([]byte(key)) }
 
-// accounts are a table's client accounts.
+// accounts indexes a table's client accounts.
 type accounts struct {
 	byName map[string]*Account
 	byKey  map[digest]*Account
 }
 
-// newAccounts checks accounts and returns them with every fault that was found. No fault
-// tells a key.
+// newAccounts validates accounts. It returns them with every fault found; no fault
+// contains a key.
 func newAccounts(list []Account) (accounts, []string) {
 	a := accounts{byName: make(map[string]*Account, len(list)), byKey: make(map[digest]*Account, len(list))}
 	var faults []string
@@ -49,7 +49,7 @@
 	return a, faults
 }
 
-// add takes an account in and returns what is wrong with it.
+// add adds an account and returns its faults.
 func (a *accounts) add(account *Account) []string {
 	var faults []string
 	if a.byName[account.Name] != nil {
@@ -67,11 +67,11 @@
 			faults = append(faults, "key at "+strconv.Itoa(i)+": "+fault)
 		}
 	}
-	account.Keys = nil // Only their digests stay.
+	account.Keys = nil // Only the digests are kept.
 	return faults
 }
 
-// addKey lets a key find its account and returns what is wrong with it, "" for nothing.
+// addKey maps a key to its account. It returns the key's fault, "" if there is none.
 func (a *accounts) addKey(account *Account, key string) string {
 	if key == "" {
 		return "is empty"
@@ -84,16 +84,16 @@
 	return ""
 }
 
-// HasAccounts tells whether callers have to say by a key for whom they call.
+// HasAccounts reports whether callers must identify themselves by a key.
 func (t *Table) HasAccounts() bool { return len(t.accounts.byName) > 0 }
 
-// AccountOf returns the account that holds a key.
+// AccountOf returns the account that a key belongs to.
 func (t *Table) AccountOf(key string) (*Account, bool) {
 	a, ok := t.accounts.byKey[digestOf(key)]
 	return a, ok
 }
 
-// Account returns the account of a name.
+// Account returns the account with a name.
 func (t *Table) Account(name string) (*Account, bool) {
 	a, ok := t.accounts.byName[name]
 	return a, ok
--- a/route/account_test.go
+++ b/route/account_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAccounts plays the data file: lists of accounts, and every fault that is named.
+// TestAccounts checks the faults of the lists of accounts in the data file.
 func TestAccounts(t *testing.T) {
 	text, err := os.ReadFile("testdata/accounts.yaml")
 	require.NoError(t, err)
@@ -35,7 +35,7 @@
 		for _, a := range c.Accounts {
 			for _, key := range a.Keys {
 				if key != "" {
-					assert.NotContains(t, err.Error(), key, "a key must not be told: "+c.Why)
+					assert.NotContains(t, err.Error(), key, "the error contains a key: "+c.Why)
 				}
 			}
 		}
@@ -62,8 +62,9 @@
 	assert.False(t, court.Limited())
 }
 
-// TestAccountsPriorityGoesFirst orders requests by their accounts before their routes.
-func TestAccountsPriorityGoesFirst(t *testing.T) {
+// TestAccountPriorityTakesPrecedence checks that requests are ordered by their accounts'
+// priorities before their routes'.
+func TestAccountPriorityTakesPrecedence(t *testing.T) {
 	table, err := New(Document{Version: 1, Services: []Service{{Name: "s"}},
 		Routes:   []Route{{Name: "order", Host: "h", Prefix: "/a/", Priority: 0, Shares: []Share{{"s", 1}}}, {Name: "lookup", Host: "h", Prefix: "/b/", Priority: 2, Shares: []Share{{"s", 1}}}},
 		Accounts: []Account{{Name: "first"}, {Name: "second", Priority: 1}}})
@@ -74,12 +75,12 @@
 	second, _ := table.Account("second")
 	priorities := []int{table.Priority(order, first), table.Priority(lookup, first), table.Priority(order, second), table.Priority(lookup, second)}
 	assert.IsIncreasing(t, priorities)
-	assert.Equal(t, table.Priority(order, second), table.CallPriority(order, table.Priority(lookup, second)), "a call is made for its parent's account")
-	assert.Equal(t, 2, table.CallPriority(lookup, table.Priority(order, nil)), "or for none")
+	assert.Equal(t, table.Priority(order, second), table.CallPriority(order, table.Priority(lookup, second)), "a nested request keeps the priority of its parent's account")
+	assert.Equal(t, 2, table.CallPriority(lookup, table.Priority(order, nil)), "a nested request of a parent without an account")
 	assert.Equal(t, []int{0, 2}, []int{table.Priority(order, nil), table.Priority(lookup, nil)}, "without an account by the route alone")
 }
 
-// largeDocument is as large as the design has to carry.
+// largeDocument returns a document of the largest size that the design supports.
 func largeDocument() Document {
 	d := Document{Version: 1, Services: []Service{{Name: "s"}}}
 	for i := range 10_000 {
@@ -91,8 +92,8 @@
 	return d
 }
 
-// BenchmarkLargeTable builds a table of 10,000 routes and 340,000 accounts and says how
-// much it holds: 0.29 s and 51 MB with keys held as they are, 0.38 s and 63 MB as digests.
+// BenchmarkLargeTable builds a table of 10,000 routes and 340,000 accounts and reports how
+// much memory it holds.
 func BenchmarkLargeTable(b *testing.B) {
 	d := largeDocument()
 	var before, after runtime.MemStats
@@ -111,8 +112,7 @@
 	runtime.KeepAlive(table)
 }
 
-// BenchmarkAccountOf finds an account among 340,000 by its key: 21 ns with keys held as
-// they are, 158 ns as digests, both without an allocation.
+// BenchmarkAccountOf looks up an account among 340,000 by its key.
 func BenchmarkAccountOf(b *testing.B) {
 	table, err := New(largeDocument())
 	require.NoError(b, err)
--- a/route/pick_test.go
+++ b/route/pick_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFewPicksOnManyNodes gives each of many nodes a few requests of a route right
-// after a new configuration: together they keep to the weights.
+// TestFewPicksOnManyNodes checks that the first few picks of many nodes together match the
+// weights, which fails if all nodes start at the same point of the sequence.
 func TestFewPicksOnManyNodes(t *testing.T) {
 	const nodes, picks = 400, 3
 	taken := map[string]int{}
--- a/route/region.go
+++ b/route/region.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// Regions are those in which a request may run.
+// Regions is the set of regions in which a request may run.
 type Regions struct {
-	bound bool // Without it, all regions.
+	bound bool // If false, the set holds all regions.
 	names []string
 }
 
-// RegionsOf returns where a request of a route and an account, nil without one, may run.
-// Where both are bound, both bind.
+// RegionsOf returns the regions in which a request of a route and an account, nil without
+// one, may run. If both are bound, the result is their intersection.
 func RegionsOf(r *Route, a *Account) Regions {
 	switch {
 	case a == nil || len(a.Regions) == 0:
@@ -26,8 +26,8 @@
 	return both
 }
 
-// Allow tells whether a region is among them.
+// Allow reports whether the set holds a region.
 func (r Regions) Allow(region string) bool { return !r.bound || slices.Contains(r.names, region) }
 
-// Bound tells whether there are regions in which the request may not run.
+// Bound reports whether the request is bound to certain regions.
 func (r Regions) Bound() bool { return r.bound }
--- a/route/region_test.go
+++ b/route/region_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRegions looks at where a request may run by its route and its account.
+// TestRegions checks where a request may run, given the regions of its route and account.
 func TestRegions(t *testing.T) {
 	for _, c := range []struct {
 		why            string
--- a/route/route.go
+++ b/route/route.go
@@ -1,7 +1,7 @@
-// Package route holds the routing table that a configuration describes: a host
-// and the longest prefix of a path choose a route, and the route's shares choose
-// a service. It also holds the client accounts, which callers name by a key. A table
-// never changes; a node swaps the whole.
+// Package route provides the routing table of a configuration. The host and the longest
+// matching path prefix select a route, and the route's shares select a service. The table
+// also holds the client accounts, which callers identify by a key. A table is immutable; a
+// node replaces it as a whole.
 //
 // # Usage
 //
@@ -29,37 +29,39 @@
 	Weight  float64
 }
 
-// Route says where requests go and how long and how often they are tried.
+// Route defines where requests go, how urgent they are, and how long and how often they
+// are tried.
 type Route struct {
 	Name      string
 	Host      string
 	Prefix    string // Begins and ends with a slash.
-	Retryable bool   // It may run more than once.
-	Priority  int    // 0 goes first.
+	Retryable bool   // Its requests may run more than once.
+	Priority  int    // 0 is the most urgent.
 	Timeout   time.Duration
-	Target    time.Duration // Within it, an answer is worth most.
-	Attempts  int           // At how many upstreams one request may run.
+	Target    time.Duration // Response time past which an answer counts as late.
+	Attempts  int           // Maximum number of runs of one request.
 	Open      bool          // Callers need no key.
 	Shares    []Share
-	Regions   []string       // In which it may run; none: in all.
-	turn      *atomic.Uint64 // How often a service was picked.
+	Regions   []string       // Regions in which its requests may run; all if empty.
+	turn      *atomic.Uint64 // Number of picks, from a random start.
 	kind      uint32
 }
 
-// Kind is the route's name as a number: its requests take about the same time, which
-// gates learn by it. Should two routes share a number, their times are mixed.
+// Kind returns a hash of the route's name. Gates learn response times by it, as the
+// requests of a route take about the same time. If two routes share a hash, their times
+// are mixed.
 func (r *Route) Kind() uint32 { return r.kind }
 
-// Service is what the configuration says of a service.
+// Service is the configuration of a service.
 type Service struct {
 	Name        string
 	HealthPath  string
 	Connections int
 	ColdStart   time.Duration // How long an upstream is cold after a start.
-	ColdRate    float64       // Requests a second that a cold upstream bears; 0 for any number.
+	ColdRate    float64       // Requests per second that a cold upstream sustains; 0 for no limit.
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the size and the time of callers' requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -67,28 +69,29 @@
 	IdleTimeout   time.Duration
 }
 
-// Document is a configuration before it was checked.
+// Document is a configuration before validation.
 type Document struct {
 	Version  uint64
 	Limits   Limits
 	Routes   []Route
 	Services []Service
-	Accounts []Account // None: callers need no keys.
-	Notes    []string  // What was not understood, and what is done about it.
+	Accounts []Account // If empty, callers need no keys.
+	Notes    []string  // Parts that were not understood, and how they are handled.
 }
 
-// Table is a checked configuration.
+// Table is a validated configuration.
 type Table struct {
 	version  uint64
 	limits   Limits
 	services map[string]Service
 	hosts    map[string][]*Route // Longest prefix first.
 	accounts accounts
-	levels   int // How many priorities routes have: 0 and up to the largest one.
+	levels   int // Number of route priorities: the largest one plus 1.
 	notes    []string
 }
 
-// New checks a document. Its error names every fault with its field.
+// New validates a document and builds its table. The error lists every fault with its
+// field.
 func New(d Document) (*Table, error) {
 	t := &Table{version: d.Version, limits: d.Limits, services: map[string]Service{}, hosts: map[string][]*Route{}, notes: d.Notes}
 	var faults []string
@@ -109,7 +112,7 @@
 		}
 		r.kind = kindOf(r.Name)
 		r.turn = &atomic.Uint64{}
-		r.turn.Store(rand.Uint64N(mostFirstTurn))
+		r.turn.Store(rand.Uint64N(maxFirstTurn))
 		r.Attempts = max(r.Attempts, 1)
 		host := strings.ToLower(r.Host)
 		t.hosts[host] = append(t.hosts[host], &r)
@@ -126,11 +129,11 @@
 
 func kindOf(name string) uint32 {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(name)) // A hash takes everything.
+	_, _ = h.Write([]byte(name)) // Write to a hash never fails.
 	return h.Sum32()
 }
 
-// fault returns what is wrong with a route, "" if nothing is.
+// fault returns the fault of a route, "" if there is none.
 func (t *Table) fault(r Route) string {
 	switch {
 	case r.Host == "":
@@ -160,22 +163,23 @@
 	return ""
 }
 
-// Version returns the configuration's version; it only grows.
+// Version returns the configuration's version, which only increases.
 func (t *Table) Version() uint64 { return t.version }
 
-// Notes returns what was not understood of the configuration.
+// Notes returns the parts of the configuration that were not understood.
 func (t *Table) Notes() []string { return t.notes }
 
-// Limits returns what a caller may send.
+// Limits returns the limits of callers' requests.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Service returns what is known of a service.
+// Service returns the configuration of a service.
 func (t *Table) Service(name string) (Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Priority returns the priority of a request: its account's goes before its route's.
+// Priority returns the priority of a request. The account's priority takes precedence over
+// the route's.
 func (t *Table) Priority(r *Route, a *Account) int {
 	if a == nil {
 		return r.Priority
@@ -183,14 +187,14 @@
 	return a.Priority*t.levels + r.Priority
 }
 
-// CallPriority returns the priority of a call, given that of the request that it is made
-// for: of the same account, by its own route. Without the account it would go before all
-// requests of less urgent accounts.
+// CallPriority returns the priority of a nested request, given its parent's priority: the
+// account's part of it is kept, and the route's part is that of r. Without the account's
+// part, it would precede all requests of less urgent accounts.
 func (t *Table) CallPriority(r *Route, parent int) int {
 	return parent - parent%t.levels + r.Priority
 }
 
-// Match returns the route of a host, with or without a port, and a path.
+// Match returns the route for a host, with or without a port, and a path.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	routes, ok := t.hosts[strings.ToLower(host)]
 	if !ok {
@@ -210,14 +214,14 @@
 // multiples of the golden ratio are a low-discrepancy sequence.
 const golden = 0.6180339887498949
 
-// mostFirstTurn bounds where a node begins in the sequence. All nodes put a
-// configuration in force together and see a few requests of a route each: from a
-// common beginning, their first picks would all be the same. Under it, a turn has
-// its fraction exact to six digits.
-const mostFirstTurn = 1 << 20
+// maxFirstTurn bounds the random start of a route's sequence. All nodes apply a
+// configuration at the same time and see few requests of a route each: from a common
+// start, their first picks would all be the same. Below the bound, the fraction of a turn
+// is exact to six digits.
+const maxFirstTurn = 1 << 20
 
-// Pick returns the next service by weight. Shares keep to their weights over any
-// few dozen requests, not only on average.
+// Pick returns the next service by weight. The picks match the weights over every few
+// dozen requests, not only on average.
 func (r *Route) Pick() string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cases is the data file: routes, and which of them requests take.
+// cases is the data file: routes, the routes that requests match, and routes that are
+// refused.
 type cases struct {
 	Routes  []struct{ Name, Host, Prefix string } `yaml:"routes"`
 	Matches []struct{ Host, Path, Want string }   `yaml:"matches"`
@@ -20,7 +21,7 @@
 	} `yaml:"refused"`
 }
 
-func load(t *testing.T) cases {
+func loadCases(t *testing.T) cases {
 	t.Helper()
 	text, err := os.ReadFile("testdata/routes.yaml")
 	require.NoError(t, err)
@@ -30,7 +31,7 @@
 }
 
 func TestMatch(t *testing.T) {
-	c := load(t)
+	c := loadCases(t)
 	d := Document{Version: 1, Services: []Service{{Name: "a"}}}
 	for _, r := range c.Routes {
 		d.Routes = append(d.Routes, Route{Name: r.Name, Host: r.Host, Prefix: r.Prefix, Shares: []Share{{Service: "a", Weight: 1}}})
@@ -47,14 +48,14 @@
 }
 
 func TestRefused(t *testing.T) {
-	for _, r := range load(t).Refused {
+	for _, r := range loadCases(t).Refused {
 		_, err := New(Document{Version: 3, Services: []Service{{Name: "a"}}, Routes: []Route{r.Route}})
 		require.Error(t, err, r.Fault)
 		assert.Contains(t, err.Error(), r.Fault)
 	}
 }
 
-// TestPickKeepsWeights counts picks over stretches of requests.
+// TestPickKeepsWeights checks that every 100 consecutive picks match the weights.
 func TestPickKeepsWeights(t *testing.T) {
 	table, err := New(Document{Version: 1, Services: []Service{{Name: "a"}, {Name: "b"}, {Name: "c"}},
 		Routes: []Route{{Name: "r", Host: "h", Prefix: "/", Shares: []Share{{"a", 70}, {"b", 20}, {"c", 10}}}}})
