--- a/ingress/deadline.go
+++ b/ingress/deadline.go
@@ -46,7 +46,7 @@
 	case !o.responded && !o.suspectAt.IsZero() && !now.Before(o.suspectAt) && o.state != running:
 		o.suspectAt = time.Time{}
 		o.endpoint.suspect(now)
-		f.forwarder.log.Info("gate unresponsive", zap.String("attempt", f.attempt), zap.String("node", o.endpoint.member.Name), zap.Bool("may_run", o.direct))
+		f.forwarder.log.Info("gate silent", zap.String("attempt", f.attempt), zap.String("node", o.endpoint.member.Name), zap.Bool("may_run", o.direct))
 		if !o.direct {
 			o.endpoint.send(&link.Frame{Withdraw: &link.Withdraw{Key: o.key}})
 			return f.refused(o, notConnected, now)
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -42,7 +42,7 @@
 	tried          []*Target
 	offersMade     int                // Offers made, in all rounds.
 	runs           int                // Attempts that may have run.
-	deliveries     int                // Times it reached an upstream, including refusals.
+	deliveries     int                // Attempts that may have reached an upstream: runs, and those refused as shed or misdirected.
 	inRepeat       bool               // Nested in a repeated attempt.
 	budgetDenials  int                // Gates that had no budget for the current repeat.
 	far            bool               // Offered to other data centres after a long wait.
--- a/ingress/target.go
+++ b/ingress/target.go
@@ -93,7 +93,7 @@
 	mu             sync.Mutex // Held by writers of services.
 	switches       switches.Set
 	services       atomic.Pointer[map[string][]*Target]
-	joined         atomic.Bool              // The node has connected to other nodes.
+	joined         atomic.Bool              // The wait for other nodes at the start is over.
 	evacuated      atomic.Pointer[[]string] // Data centres that receive no requests.
 	regions        map[string]string        // Region by data centre, where known.
 	exhaustedUntil sync.Map                 // UnixNano by service, until which its repeat budget counts as exhausted.
@@ -128,8 +128,10 @@
 // selection.
 func (t *Targets) SetRegions(ofDataCentres map[string]string) { t.regions = ofDataCentres }
 
-// SetMet records that the node has connected to other nodes. From then on, a request is
-// refused at once if its service has known gates but none is eligible.
+// SetMet records that the node's wait for other nodes at its start is over, whether it has
+// met them or its time has passed. Until then, an eligible gate may merely be unknown
+// still, so a request waits. From then on, it is refused at once if its service has known
+// gates but none is eligible.
 func (t *Targets) SetMet() { t.joined.Store(true) }
 
 // SetEvacuated sets the data centres that receive no requests.
--- a/ingress/unresponsive_test.go
+++ b/ingress/unresponsive_test.go
@@ -101,25 +101,25 @@
 // before the ping reply was overdue may be offered to the unresponsive gate.
 func TestOrdersSkipUnresponsiveGate(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	f, silent, full, ways := unresponsiveAndFull(begin)
+	f, silent, full, sinks := unresponsiveAndFull(begin)
 	for after := time.Duration(0); after < 4*time.Second; after += 50 * time.Millisecond {
 		refuseAll(t, newOrder(f, begin.Add(after)), full, begin.Add(after))
 	}
-	assert.LessOrEqual(t, ways[silent].offers(), 12, "orders before the ping reply was overdue")
-	assert.Positive(t, ways[silent].pings(), "it is pinged")
+	assert.LessOrEqual(t, sinks[silent].offers(), 12, "orders before the ping reply was overdue")
+	assert.Positive(t, sinks[silent].pings(), "it is pinged")
 }
 
 // TestGateReturnsWithPingReply checks that a gate that was unresponsive is selected like
 // any other once it replies to a ping.
 func TestGateReturnsWithPingReply(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	f, silent, full, ways := unresponsiveAndFull(begin)
+	f, silent, full, sinks := unresponsiveAndFull(begin)
 	refuseAll(t, newOrder(f, begin), full, begin)
-	require.Positive(t, ways[silent].pings())
+	require.Positive(t, sinks[silent].pings())
 	later := begin.Add(5 * time.Second)
 	crit := criteria{service: "a", tried: []*Target{full}}
 	assert.Nil(t, f.endpoints.choose(crit, later).endpoint, "it has not replied")
-	ways[silent].ponged = begin.Add(4 * time.Second)
+	sinks[silent].ponged = begin.Add(4 * time.Second)
 	assert.Equal(t, silent, f.endpoints.choose(crit, later).endpoint)
 }
 
