--- a/mesh/watch.go
+++ b/mesh/watch.go
@@ -11,43 +11,42 @@
 )
 
 const (
-	// A watch may go deaf without a sign until its wait is over. So those that watch
-	// end their waits in turn, one each watchPerNode, and pass on what they find: well
-	// within the two seconds that a configuration has. A wait is watchLeast at least,
-	// for fleets of a few nodes.
-	watchPerNode = 600 * time.Millisecond
-	watchLeast   = 1 * time.Second
-	// watchers is how many nodes of a fleet watch the store. The others hear of a
-	// change from them, so that the store's work does not grow with the fleet: each
-	// change wakes every watch, and calls are paid for. Any few of them would do; this
-	// many outlast a data centre that is cut off while the store turns a third away.
+	// A watch may silently miss changes until its wait is over. Watching nodes therefore
+	// end their waits in turn, one every watchTurn, and pass on what they find, well within
+	// the two seconds that a configuration has to spread. minWatchRound is the shortest
+	// round, for fleets of a few nodes.
+	watchTurn     = 600 * time.Millisecond
+	minWatchRound = 1 * time.Second
+	// watchers is how many nodes of a fleet watch the store. The others receive changes
+	// from them, so that the store's load does not grow with the fleet: each change wakes
+	// every watch, and calls cost money. This many survive the loss of a data centre while
+	// the store refuses a third of the calls.
 	watchers = 12
-	// unwatchedRead is how often a node that does not watch reads the key, should
-	// no word ever reach it. In a fleet of more than unwatchedFleet nodes it does so less
-	// often, so that the store's work for all of them stays the same.
-	unwatchedRead  = 30 * time.Second
-	unwatchedFleet = 100
-	// peersTime is how long a node that starts waits for others to tell of a configuration
-	// before it reads one that may be seconds old: meanwhile it refuses its callers.
-	peersTime = 300 * time.Millisecond
-	// watchCheck is the pace at which a node that does not watch looks whether it
-	// has to begin.
-	watchCheck = 250 * time.Millisecond
-	// watchRetry is the pause after a failed read or watch, doubled up to
-	// watchRetryMost: a call that the store turns away is paid for like any other, and
-	// peers tell of changes meanwhile.
-	watchRetry     = 300 * time.Millisecond
-	watchRetryMost = 1200 * time.Millisecond
+	// pollEvery is how often a node that does not watch reads the key, in case no peer ever
+	// sends it a change. In a fleet of more than pollFleetSize nodes it reads less often,
+	// so that the total load on the store stays the same.
+	pollEvery     = 30 * time.Second
+	pollFleetSize = 100
+	// peersTimeout is how long a starting node waits for peers to send a configuration
+	// before it reads a possibly stale one. Meanwhile it refuses its callers.
+	peersTimeout = 300 * time.Millisecond
+	// watcherCheckEvery is the interval at which a node that does not watch checks whether
+	// it has to start watching.
+	watcherCheckEvery = 250 * time.Millisecond
+	// watchRetry is the pause after a failed read or watch, doubled up to watchRetryMax:
+	// the store charges for refused calls too, and peers send changes meanwhile.
+	watchRetry    = 300 * time.Millisecond
+	watchRetryMax = 1200 * time.Millisecond
 )
 
-// run follows what operators write until ctx ends.
+// run follows the operator state until ctx ends.
 func (c *configuration) run(ctx context.Context) {
-	pause := backoff{least: watchRetry, most: watchRetryMost}
-	at := c.begin(ctx)
-	c.node.meet(ctx)
-	c.node.targets.SetMet()
-	if version, _ := c.current(); version > 0 && !c.node.links.among(c.watchers) {
-		c.rest(ctx)
+	pause := backoff{min: watchRetry, max: watchRetryMax}
+	at := c.initialRead(ctx)
+	c.node.awaitJoin(ctx)
+	c.node.endpoints.SetMet()
+	if version, _ := c.current(); version > 0 && !c.node.links.amongFirst(c.watchers) {
+		c.awaitPoll(ctx)
 	}
 	for ctx.Err() == nil {
 		err := c.follow(ctx, &pause, at)
@@ -62,10 +61,10 @@
 	}
 }
 
-// follow reads what operators have written and watches it until something fails. Lost
-// history is no failure: all is read again. One watch tells of the configuration and of
-// data centres to be evacuated, as a waiting watch is paid for.
-// What was read up to a moment, if any, is not read again.
+// follow reads the operator state and watches it until a call fails or this node no longer
+// watches. Compacted history is not an error: follow returns to read everything again. One
+// watch covers the configuration and the evacuated data centres, because a waiting watch
+// costs money. If at is set, state up to that revision is not read again.
 func (c *configuration) follow(ctx context.Context, pause *backoff, at port.Moment) error {
 	store, operator := c.node.platform.Store, c.node.platform.OperatorPrefix
 	if at.Revision == 0 {
@@ -74,13 +73,13 @@
 			return err
 		}
 		at = read
-		c.node.readOperator(entries, at)
+		c.node.applyOperatorEntries(entries, at)
 	}
 	pause.reset()
 	for {
-		s := c.node.links.standing()
-		if !s.among(c.watchers) {
-			c.rest(ctx)
+		s := c.node.links.position()
+		if !s.amongFirst(c.watchers) {
+			c.awaitPoll(ctx)
 			return nil
 		}
 		wait := watchWait(time.Now(), s.before, min(s.fleet, c.watchers))
@@ -92,56 +91,56 @@
 			return err
 		}
 		at = next
-		c.node.hearOperator(events, at)
+		c.node.applyOperatorEvents(events, at)
 	}
 }
 
-// begin sees to a configuration after the start: one of the nodes that come first among
-// those in the directory reads it at once, before it has met anybody, and the others hear
-// of it as their links come up. So a fleet that starts at once refuses callers for no longer
-// than it takes to make links, and its store is not read by all. It returns the moment up to
-// which a watch need not read again, if there is one.
-func (c *configuration) begin(ctx context.Context) port.Moment {
-	until := time.Now().Add(peersTime)
+// initialRead obtains a configuration after the start. A node ranked among the watchers by
+// the directory reads it at once, before it has any links; the others receive it as their
+// links come up. So a fleet that starts at once refuses callers no longer than it takes to
+// set up links, and not every node reads the store. It returns the revision from which a
+// watch can continue, zero if there is none.
+func (c *configuration) initialRead(ctx context.Context) port.Moment {
+	until := time.Now().Add(peersTimeout)
 	for time.Now().Before(until) && ctx.Err() == nil {
 		if version, _ := c.current(); version > 0 {
 			return port.Moment{}
 		}
-		if c.node.directory.acquainted.Load() && c.node.links.comesBefore(c.watchers) {
+		if c.node.directory.discovered.Load() && c.node.links.rankedAmong(c.watchers) {
 			break
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(readPoll):
+		case <-time.After(loadPoll):
 		}
 	}
-	return c.look(ctx)
+	return c.readOnce(ctx)
 }
 
-// look reads what operators have written once. Where it fails, follow reads it; what may be
-// seconds old is no beginning for a watch.
-func (c *configuration) look(ctx context.Context) port.Moment {
-	first := c.node.links.comesBefore(c.watchers)
+// readOnce reads the operator state once. If the read fails, follow repeats it. A possibly
+// stale read gives no revision to start a watch from.
+func (c *configuration) readOnce(ctx context.Context) port.Moment {
+	first := c.node.links.rankedAmong(c.watchers)
 	entries, at, err := c.readAs(ctx, first)
 	if err != nil {
 		c.node.log.Info("configuration not read", zap.Error(err))
 		return port.Moment{}
 	}
-	c.node.readOperator(entries, at)
+	c.node.applyOperatorEntries(entries, at)
 	if !first {
 		return port.Moment{}
 	}
 	return at
 }
 
-// read reads what operators have written. A node that hears of changes from its peers only
-// looks whether it has missed one long ago: an old reading will do.
+// read reads the operator state. For a node that receives changes from its peers a stale
+// read is enough, as it only looks for changes missed long ago.
 func (c *configuration) read(ctx context.Context) ([]port.Entry, port.Moment, error) {
-	return c.readAs(ctx, c.node.links.among(c.watchers))
+	return c.readAs(ctx, c.node.links.amongFirst(c.watchers))
 }
 
-// readAs reads what operators have written as it is, for a node that watches, or as it was
-// lately.
+// readAs reads the current operator state for a node that watches, and a possibly stale one
+// otherwise.
 func (c *configuration) readAs(ctx context.Context, watches bool) ([]port.Entry, port.Moment, error) {
 	store, operator := c.node.platform.Store, c.node.platform.OperatorPrefix
 	if watches {
@@ -150,38 +149,38 @@
 	return store.Peek(ctx, operator)
 }
 
-// rest waits, without a call to the store, until it is time to read the key again
-// or the node has become one of those that watch.
-func (c *configuration) rest(ctx context.Context) {
-	until := time.Now().Add(jitter(unwatchedPause(c.node.links.fleetSize())))
-	for time.Now().Before(until) && !c.node.links.among(c.watchers) {
+// awaitPoll waits, without calls to the store, until the next poll is due or the node has
+// become a watcher.
+func (c *configuration) awaitPoll(ctx context.Context) {
+	until := time.Now().Add(jitter(pollPause(c.node.links.fleetSize())))
+	for time.Now().Before(until) && !c.node.links.amongFirst(c.watchers) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(watchCheck):
+		case <-time.After(watcherCheckEvery):
 		}
 	}
 }
 
-// unwatchedPause is the pause between two reads of a node that does not watch.
-func unwatchedPause(fleet int) time.Duration {
-	return unwatchedRead * time.Duration(max(fleet, unwatchedFleet)) / unwatchedFleet
+// pollPause returns the pause between two reads of a node that does not watch.
+func pollPause(fleet int) time.Duration {
+	return pollEvery * time.Duration(max(fleet, pollFleetSize)) / pollFleetSize
 }
 
-// watchWait is how long a watch waits that begins now on the node at a place among
-// so many: until the node's next turn by the time of day. Clocks that are apart
-// move the turns, and no more.
-func watchWait(now time.Time, place, among int) time.Duration {
-	round := watchRound(among)
-	turn := round * time.Duration(min(place, among-1)) / time.Duration(among)
+// watchWait returns how long a watch that starts now waits, on the node at a position among
+// the watchers: until the node's next turn by the wall clock. Clock skew only shifts the
+// turns.
+func watchWait(now time.Time, rank, count int) time.Duration {
+	round := watchRound(count)
+	turn := round * time.Duration(min(rank, count-1)) / time.Duration(count)
 	wait := (turn - time.Duration(now.UnixNano()%int64(round)) + round) % round
-	if wait < watchPerNode/2 {
+	if wait < watchTurn/2 {
 		wait += round
 	}
 	return wait
 }
 
-// watchRound is the time in which each of so many watching nodes has its turn.
-func watchRound(among int) time.Duration {
-	return max(time.Duration(among)*watchPerNode, watchLeast)
+// watchRound returns the time in which each watching node has one turn.
+func watchRound(count int) time.Duration {
+	return max(time.Duration(count)*watchTurn, minWatchRound)
 }
