--- a/mesh/members.go
+++ b/mesh/members.go
@@ -20,9 +20,9 @@
 	// removers is how many nodes remove the records of nodes that they forget. It is more
 	// than one because no node dials all others.
 	removers = 3
-	// gossipMargin is the number of gossip recipients beyond ln(n). With it, one in a
-	// hundred new nodes is missed by some node, which learns of it when it compares digests
-	// with another.
+	// gossipMargin is the number c of gossip recipients beyond ln(n). The probability that
+	// some node misses a record is about e^-c, here two in a hundred; that node learns of it
+	// when it compares digests with another.
 	gossipMargin = 4
 	// gossipDelay is how long after its start a node begins to pass on gossip.
 	gossipDelay = 3 * time.Second
@@ -117,7 +117,8 @@
 }
 
 // gossipFanout returns the number of random nodes to send gossip to so that it reaches all:
-// with ln(n) + c recipients, on average e^-c nodes of the whole fleet miss it.
+// with ln(n) + c recipients, the probability that some node of the whole fleet misses it is
+// about e^-c (see gossipMargin).
 func (l *links) gossipFanout() int {
 	return int(math.Ceil(math.Log(float64(l.fleetSize()+1)))) + gossipMargin
 }
--- a/mesh/serve.go
+++ b/mesh/serve.go
@@ -71,6 +71,6 @@
 	ctx, cancel := context.WithTimeout(ctx, min(ackTimeout, n.settings.Load().Acknowledge()))
 	defer cancel()
 	err := n.directory.recordLeaving(ctx, r.Incarnation)
-	n.log.Info("upstream is leaving", zap.Stringer("upstream", r.Incarnation), zap.Bool("final", r.Final), zap.Bool("recorded", err == nil), zap.NamedError("cause", err))
+	n.log.Info("upstream leaves", zap.Stringer("upstream", r.Incarnation), zap.Bool("final", r.Final), zap.Bool("recorded", err == nil), zap.NamedError("cause", err))
 	return err == nil
 }
