--- a/bench/standin/cutter.go
+++ b/bench/standin/cutter.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// Rule bends the link from one address to one target.
+// Rule describes the faults on the link from a source address to a target.
 type Rule struct {
-	From   string        `json:"from"`    // IP number of who dials, "" for all.
-	To     string        `json:"to"`      // Name of the link.
-	CutOut bool          `json:"cut_out"` // Nothing gets from the dialler to the target.
-	CutIn  bool          `json:"cut_in"`  // Nothing gets back.
-	Hold   bool          `json:"hold"`    // Bytes wait, in the directions that are cut, and come after.
-	Delay  time.Duration `json:"delay"`
-	Reset  bool          `json:"reset"` // New connections and answers are reset.
-	Half   int           `json:"half"`  // Answers break off after this many bytes.
+	From   string        `json:"from"`    // Source IP address, "" for any.
+	To     string        `json:"to"`      // Name of the link, "" for any.
+	CutOut bool          `json:"cut_out"` // Drops what the client sends.
+	CutIn  bool          `json:"cut_in"`  // Drops what the target sends.
+	Hold   bool          `json:"hold"`    // Delays the bytes of the cut directions until the cut ends, instead of dropping them; TCP only.
+	Delay  time.Duration `json:"delay"`   // In each direction.
+	Reset  bool          `json:"reset"`   // Resets new connections, and open ones on their next data; drops datagrams.
+	Half   int           `json:"half"`    // Ends the target's stream after this many bytes, 0 for never; TCP only.
 }
 
-// Link is one target behind the cutter.
+// Link is a target that is reached through the proxy.
 type Link struct {
 	Name    string `json:"name"`
 	Network string `json:"network"` // tcp or udp.
@@ -31,17 +31,17 @@
 	Target  string `json:"target"`
 }
 
-// Cutter forwards links and applies rules to them, by direction.
+// Cutter is a proxy that injects faults into links, by source and direction.
 type Cutter struct {
 	rules atomic.Pointer[[]Rule]
 }
 
 const (
-	datagram = 64 << 10
-	holdPoll = 10 * time.Millisecond
+	bufferSize       = 64 << 10 // Bytes; holds any UDP datagram.
+	holdPollInterval = 10 * time.Millisecond
 )
 
-// NewCutter returns a cutter without rules.
+// NewCutter returns a proxy without rules.
 func NewCutter() *Cutter {
 	c := &Cutter{}
 	c.rules.Store(&[]Rule{})
@@ -51,8 +51,8 @@
 // SetRules replaces all rules.
 func (c *Cutter) SetRules(rules []Rule) { c.rules.Store(&rules) }
 
-// rule returns what counts for a link now.
-func (c *Cutter) rule(from netip.Addr, to string) Rule {
+// ruleFor returns the first rule that matches, and the zero Rule if none does.
+func (c *Cutter) ruleFor(from netip.Addr, to string) Rule {
 	for _, r := range *c.rules.Load() {
 		if (r.From == "" || r.From == from.String()) && (r.To == "" || r.To == to) {
 			return r
@@ -72,49 +72,49 @@
 	}
 	go func() {
 		for {
-			near, err := listener.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go c.forward(near, l)
+			go c.forward(client, l)
 		}
 	}()
 	return listener.Addr().String(), nil
 }
 
-func address(a net.Addr) netip.Addr {
-	where, err := netip.ParseAddrPort(a.String())
+func ipAddr(a net.Addr) netip.Addr {
+	addr, err := netip.ParseAddrPort(a.String())
 	if err != nil {
 		return netip.Addr{}
 	}
-	return where.Addr().Unmap()
+	return addr.Addr().Unmap()
 }
 
-func (c *Cutter) forward(near net.Conn, l Link) {
-	defer near.Close() //nolint:errcheck // It is being given up.
-	from := address(near.RemoteAddr())
-	if c.rule(from, l.Name).Reset {
-		reset(near)
+func (c *Cutter) forward(client net.Conn, l Link) {
+	defer client.Close() //nolint:errcheck // The connection is abandoned.
+	from := ipAddr(client.RemoteAddr())
+	if c.ruleFor(from, l.Name).Reset {
+		reset(client)
 		return
 	}
-	far, err := net.Dial("tcp", l.Target)
+	target, err := net.Dial("tcp", l.Target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	defer far.Close() //nolint:errcheck // It is being given up.
+	defer target.Close() //nolint:errcheck // The connection is abandoned.
 	done := make(chan struct{}, 2)
-	go c.copy(far, near, func() (Rule, bool) { r := c.rule(from, l.Name); return r, r.CutOut }, false, done)
-	go c.copy(near, far, func() (Rule, bool) { r := c.rule(from, l.Name); return r, r.CutIn }, true, done)
+	go c.copy(target, client, func() (Rule, bool) { r := c.ruleFor(from, l.Name); return r, r.CutOut }, false, done)
+	go c.copy(client, target, func() (Rule, bool) { r := c.ruleFor(from, l.Name); return r, r.CutIn }, true, done)
 	<-done
 }
 
-// copy forwards one direction. A cut swallows what comes while it lasts, like a
-// link that drops packets and whose sender gives up before they are repeated.
-func (c *Cutter) copy(to, from net.Conn, rule func() (Rule, bool), answers bool, done chan<- struct{}) {
+// copy forwards one direction of a connection. Data that arrives during a cut is
+// lost, as on a link that drops packets until the sender stops retransmitting.
+func (c *Cutter) copy(to, from net.Conn, rule func() (Rule, bool), fromTarget bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
-	buffer := make([]byte, datagram)
-	passed := 0
+	buffer := make([]byte, bufferSize)
+	forwarded := 0
 	for {
 		n, err := from.Read(buffer)
 		r, cut := rule()
@@ -123,23 +123,23 @@
 			return
 		}
 		for cut && r.Hold {
-			time.Sleep(holdPoll)
+			time.Sleep(holdPollInterval)
 			r, cut = rule()
 		}
 		if n > 0 && !cut {
 			time.Sleep(r.Delay)
-			if answers && r.Half > 0 && passed+n > r.Half {
-				_, _ = to.Write(buffer[:max(r.Half-passed, 0)])
+			if fromTarget && r.Half > 0 && forwarded+n > r.Half {
+				_, _ = to.Write(buffer[:max(r.Half-forwarded, 0)])
 				return
 			}
-			passed += n
+			forwarded += n
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				return
 			}
 		}
 		if err != nil {
 			if cut {
-				// The end of the stream does not come through either.
+				// The end of the stream is not forwarded either.
 				time.Sleep(hangLimit)
 			}
 			return
@@ -154,13 +154,13 @@
 	_ = c.Close()
 }
 
-// openUDP forwards datagrams, with a socket of its own for each dialler.
+// openUDP forwards datagrams, with a separate socket to the target for each client.
 func (c *Cutter) openUDP(l Link) (string, error) {
-	where, err := net.ResolveUDPAddr("udp", l.Listen)
+	addr, err := net.ResolveUDPAddr("udp", l.Listen)
 	if err != nil {
 		return "", err
 	}
-	near, err := net.ListenUDP("udp", where)
+	conn, err := net.ListenUDP("udp", addr)
 	if err != nil {
 		return "", err
 	}
@@ -168,28 +168,28 @@
 	if err != nil {
 		return "", err
 	}
-	go c.forwardUDP(near, target, l)
-	return near.LocalAddr().String(), nil
+	go c.forwardUDP(conn, target, l)
+	return conn.LocalAddr().String(), nil
 }
 
-func (c *Cutter) forwardUDP(near *net.UDPConn, target *net.UDPAddr, l Link) {
-	far := map[netip.AddrPort]*net.UDPConn{}
-	buffer := make([]byte, datagram)
+func (c *Cutter) forwardUDP(conn *net.UDPConn, target *net.UDPAddr, l Link) {
+	sockets := map[netip.AddrPort]*net.UDPConn{}
+	buffer := make([]byte, bufferSize)
 	for {
-		n, who, err := near.ReadFromUDPAddrPort(buffer)
+		n, client, err := conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		from := who.Addr().Unmap()
-		socket := far[who]
+		from := client.Addr().Unmap()
+		socket := sockets[client]
 		if socket == nil {
 			if socket, err = net.DialUDP("udp", nil, target); err != nil {
 				continue
 			}
-			far[who] = socket
-			go c.backUDP(near, socket, who, l)
+			sockets[client] = socket
+			go c.forwardRepliesUDP(conn, socket, client, l)
 		}
-		r := c.rule(from, l.Name)
+		r := c.ruleFor(from, l.Name)
 		if r.CutOut || r.Reset {
 			continue
 		}
@@ -198,34 +198,35 @@
 	}
 }
 
-func (c *Cutter) backUDP(near, far *net.UDPConn, who netip.AddrPort, l Link) {
-	buffer := make([]byte, datagram)
+func (c *Cutter) forwardRepliesUDP(conn, socket *net.UDPConn, client netip.AddrPort, l Link) {
+	buffer := make([]byte, bufferSize)
 	for {
-		n, err := far.Read(buffer)
+		n, err := socket.Read(buffer)
 		if err != nil {
-			// A port that nobody listens on yet; the next packet may find somebody.
+			// Nothing may listen on the target's port yet; later datagrams may get through.
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		r := c.rule(who.Addr().Unmap(), l.Name)
+		r := c.ruleFor(client.Addr().Unmap(), l.Name)
 		if r.CutIn || r.Reset {
 			continue
 		}
 		packet := append([]byte(nil), buffer[:n]...)
-		time.AfterFunc(r.Delay, func() { _, _ = near.WriteToUDPAddrPort(packet, who) })
+		time.AfterFunc(r.Delay, func() { _, _ = conn.WriteToUDPAddrPort(packet, client) })
 	}
 }
 
-// ServeHTTP is the control side: POST /link opens a link, PUT /rules sets rules.
+// ServeHTTP serves the control API: POST /link opens a link, PUT /rules replaces
+// the rules.
 func (c *Cutter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var err error
 	switch r.Method + " " + r.URL.Path {
 	case "POST /link":
 		var l Link
 		if err = json.NewDecoder(r.Body).Decode(&l); err == nil {
-			var where string
-			if where, err = c.Open(l); err == nil {
-				_, _ = io.WriteString(w, where)
+			var addr string
+			if addr, err = c.Open(l); err == nil {
+				_, _ = io.WriteString(w, addr)
 			}
 		}
 	case "PUT /rules":
--- a/bench/standin/metadata.go
+++ b/bench/standin/metadata.go
@@ -12,17 +12,18 @@
 	"eiderfold/memory"
 )
 
-// MetadataFaults is what is wrong with a Metadata store.
+// MetadataFaults are the faults that a Metadata store injects.
 type MetadataFaults struct {
-	Busy       bool          `json:"busy"`        // Every call gets 503.
-	Silent     bool          `json:"silent"`      // No call gets an answer.
-	LoseWrites bool          `json:"lose_writes"` // Writes are done and not answered.
-	Deaf       bool          `json:"deaf"`        // Watches hear nothing until they end.
+	Busy       bool          `json:"busy"`        // Every request gets 503.
+	Silent     bool          `json:"silent"`      // No request gets a response.
+	LoseWrites bool          `json:"lose_writes"` // Writes take effect, but their responses are lost.
+	Deaf       bool          `json:"deaf"`        // Watches report no changes until they time out.
 	Delay      time.Duration `json:"delay"`
-	Refuse     []string      `json:"refuse"` // Addresses of nodes that get 429.
+	Refuse     []string      `json:"refuse"` // IP addresses of nodes that get 429.
 }
 
-// Metadata is the users' platform's store, as their published protocol says.
+// Metadata is an in-memory server for the published protocol of the store on the
+// users' platform.
 type Metadata struct {
 	directory *memory.Directory
 	faults    atomic.Pointer[MetadataFaults]
@@ -51,19 +52,19 @@
 // ServeHTTP implements http.Handler.
 func (m *Metadata) ServeHTTP(w http.ResponseWriter, r *http.Request) { m.mux.ServeHTTP(w, r) }
 
-// Directory returns what the store holds.
+// Directory returns the underlying directory.
 func (m *Metadata) Directory() *memory.Directory { return m.directory }
 
-// SetFaults changes what is wrong.
+// SetFaults replaces the faults.
 func (m *Metadata) SetFaults(f MetadataFaults) {
 	m.faults.Store(&f)
 	m.directory.SetFaults(memory.Faults{Deaf: f.Deaf})
 }
 
-// Calls returns how many calls came.
+// Calls returns the number of requests received, other than control requests.
 func (m *Metadata) Calls() int64 { return m.calls.Load() }
 
-// control sets the faults, for tests of other processes.
+// control replaces the faults, for tests that run in another process.
 func (m *Metadata) control(w http.ResponseWriter, r *http.Request) {
 	var f MetadataFaults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
@@ -73,7 +74,7 @@
 	m.SetFaults(f)
 }
 
-// operator writes a key as the operator does, whatever is wrong for nodes.
+// operator writes a key as an operator does, regardless of the faults.
 func (m *Metadata) operator(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(r.Body)
 	if err == nil {
@@ -84,7 +85,7 @@
 	}
 }
 
-// faulty puts the faults before a call.
+// faulty wraps a handler with the faults.
 func (m *Metadata) faulty(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		m.calls.Add(1)
@@ -106,14 +107,14 @@
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 		case f.LoseWrites && r.Method != http.MethodGet:
 			next(discard{}, r)
-			panic(http.ErrAbortHandler) // The connection ends without an answer.
+			panic(http.ErrAbortHandler) // Closes the connection without a response.
 		default:
 			next(w, r)
 		}
 	}
 }
 
-// sleep waits and reports whether the caller is still there.
+// sleep waits for d and returns true, or returns false once ctx is done.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d == 0 {
 		return true
@@ -126,7 +127,7 @@
 	}
 }
 
-// discard is an answer that gets lost.
+// discard is a ResponseWriter that drops the headers and the body.
 type discard struct{}
 
 func (discard) Header() http.Header         { return http.Header{} }
--- a/bench/standin/metadata_test.go
+++ b/bench/standin/metadata_test.go
@@ -15,7 +15,7 @@
 	"eiderfold/port"
 )
 
-func metadata(t *testing.T) (*Metadata, *adapter.Store) {
+func startMetadata(t *testing.T) (*Metadata, *adapter.Store) {
 	t.Helper()
 	m := NewMetadata()
 	s := httptest.NewServer(m)
@@ -23,10 +23,11 @@
 	return m, adapter.NewStore(strings.TrimPrefix(s.URL, "http://"), func(string) {})
 }
 
-// TestStoreClient runs the platform's client through every call.
+// TestStoreClient checks the store's client against the server: reads, writes,
+// removals, ranges of several pages and watches.
 func TestStoreClient(t *testing.T) {
 	ctx := context.Background()
-	m, s := metadata(t)
+	m, s := startMetadata(t)
 	_, revision, err := s.Get(ctx, "a/1")
 	require.ErrorIs(t, err, port.ErrMissing)
 	assert.Positive(t, revision.Revision)
@@ -56,7 +57,7 @@
 	found, _, err = s.Watch(ctx, "a/", at, time.Second)
 	require.NoError(t, err)
 	require.Len(t, found, 1)
-	assert.True(t, found[0].Removed, "a removal is told")
+	assert.True(t, found[0].Removed, "the watch reports a removal")
 	entries, _, err = s.Range(ctx, "")
 	require.NoError(t, err)
 	require.Len(t, entries, 8)
@@ -64,14 +65,14 @@
 	m.Directory().Compact()
 	_, _, err = s.Watch(ctx, "a/", revision, time.Second)
 	assert.ErrorIs(t, err, port.ErrCompacted)
-	assert.ErrorIs(t, s.Put(ctx, "op/config", nil), port.ErrUnavailable, "the operator's keys are not ours")
+	assert.ErrorIs(t, s.Put(ctx, "op/config", nil), port.ErrUnavailable, "nodes may not write the operators' keys")
 }
 
-// TestStoreErasAreToldApart restores the store from a copy: revisions go back and are given
-// out again, so a watch from before would miss what they stand for now.
-func TestStoreErasAreToldApart(t *testing.T) {
+// TestStoreEras restores the store from a copy, so that revisions are used again. A
+// watch from a revision of the previous era must fail, or it would miss changes.
+func TestStoreEras(t *testing.T) {
 	ctx := context.Background()
-	m, s := metadata(t)
+	m, s := startMetadata(t)
 	require.NoError(t, s.Put(ctx, "a/1", []byte("kept")))
 	copied := m.Directory().Copy()
 	require.NoError(t, s.Put(ctx, "a/2", []byte("lost")))
@@ -93,10 +94,10 @@
 	assert.Len(t, page, 2)
 }
 
-// TestStoreFaults says of each fault what a call ends with.
+// TestStoreFaults checks the error that the client returns for each fault.
 func TestStoreFaults(t *testing.T) {
 	ctx := context.Background()
-	m, s := metadata(t)
+	m, s := startMetadata(t)
 	m.SetFaults(MetadataFaults{Busy: true})
 	assert.ErrorIs(t, s.Put(ctx, "a", nil), port.ErrUnavailable)
 	m.SetFaults(MetadataFaults{LoseWrites: true})
@@ -112,5 +113,5 @@
 	m.SetFaults(MetadataFaults{})
 	e, _, err := s.Get(ctx, "a")
 	require.NoError(t, err)
-	assert.Equal(t, "done", string(e.Value), "the lost write was done")
+	assert.Equal(t, "done", string(e.Value), "the write whose response was lost took effect")
 }
--- a/bench/standin/metadatacalls.go
+++ b/bench/standin/metadatacalls.go
@@ -12,25 +12,26 @@
 	"eiderfold/port"
 )
 
-// headerEra counts how often the store was restored.
+// headerEra is the header that counts how often the store was restored.
 const headerEra = "Store-Era"
 
-// maxMetadataWait is the longest wait of a watch that the protocol allows.
+// maxMetadataWait is the longest watch that the protocol allows.
 const maxMetadataWait = 30 * time.Second
 
-// metadataItem is a key as the protocol shows it.
+// metadataItem is the protocol's encoding of a key.
 type metadataItem struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
 	Revision uint64 `json:"revision"`
 	Created  uint64 `json:"created"`
 	Lease    uint64 `json:"lease"`
-	// Tombstone says that the key is gone.
+	// Tombstone marks a removed key.
 	Tombstone bool `json:"tombstone,omitempty"`
 }
 
-// items shows entries; the directory does not keep when a key was made.
-func items(entries []port.Entry) []metadataItem {
+// encodeItems encodes entries. Created repeats the revision, as the directory does
+// not record when a key was created.
+func encodeItems(entries []port.Entry) []metadataItem {
 	out := []metadataItem{}
 	for _, e := range entries {
 		out = append(out, metadataItem{Key: e.Key, Value: e.Value, Revision: e.Version, Created: e.Version, Tombstone: e.Removed})
@@ -38,46 +39,48 @@
 	return out
 }
 
-func reply(w http.ResponseWriter, status int, body any) {
+func writeStatusJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // The caller may be gone.
+	_ = json.NewEncoder(w).Encode(body) // The client may have disconnected.
 }
 
-// failed answers an error of the directory, and reports whether there was one.
-func failed(w http.ResponseWriter, at port.Moment, err error) bool {
+// writeError sets the era header and, if err is not nil, writes the response for
+// it. It reports whether err was not nil.
+func writeError(w http.ResponseWriter, at port.Moment, err error) bool {
 	w.Header().Set(headerEra, strconv.FormatUint(at.Era, 10))
 	switch {
 	case err == nil:
 		return false
 	case errors.Is(err, port.ErrMissing):
-		reply(w, http.StatusNotFound, map[string]any{"currentRev": at.Revision})
+		writeStatusJSON(w, http.StatusNotFound, map[string]any{"currentRev": at.Revision})
 	case errors.Is(err, port.ErrCompacted):
-		reply(w, http.StatusGone, map[string]any{"error": "history is gone"})
+		writeStatusJSON(w, http.StatusGone, map[string]any{"error": "history is gone"})
 	default:
-		reply(w, http.StatusServiceUnavailable, map[string]any{"error": err.Error()})
+		writeStatusJSON(w, http.StatusServiceUnavailable, map[string]any{"error": err.Error()})
 	}
 	return true
 }
 
 func (m *Metadata) key(w http.ResponseWriter, r *http.Request) {
 	e, at, err := m.directory.Get(r.Context(), r.URL.Query().Get("key"))
-	if failed(w, at, err) {
+	if writeError(w, at, err) {
 		return
 	}
-	reply(w, http.StatusOK, struct {
+	writeStatusJSON(w, http.StatusOK, struct {
 		metadataItem
 		CurrentRev uint64 `json:"currentRev"`
-	}{items([]port.Entry{e})[0], at.Revision})
+	}{encodeItems([]port.Entry{e})[0], at.Revision})
 }
 
-// pageItems is how many items one page of a range has; small, so that tests see pages.
+// pageItems is the number of items on a page of a range; small, so that tests cover
+// paging.
 const pageItems = 3
 
 func (m *Metadata) items(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	entries, at, err := m.directory.Range(r.Context(), q.Get("pathPrefix"))
-	if failed(w, at, err) {
+	if writeError(w, at, err) {
 		return
 	}
 	var page []port.Entry
@@ -91,7 +94,7 @@
 		}
 		page = append(page, e)
 	}
-	reply(w, http.StatusOK, map[string]any{"items": items(page), "morePages": more, "currentRev": at.Revision})
+	writeStatusJSON(w, http.StatusOK, map[string]any{"items": encodeItems(page), "morePages": more, "currentRev": at.Revision})
 }
 
 func (m *Metadata) watch(w http.ResponseWriter, r *http.Request) {
@@ -102,12 +105,12 @@
 		http.Error(w, "after or waitMs", http.StatusBadRequest)
 		return
 	}
-	era := m.directory.Moment().Era // The protocol has no word for the one that the caller means.
+	era := m.directory.Moment().Era // The protocol does not carry the caller's era.
 	entries, at, err := m.directory.Watch(r.Context(), q.Get("pathPrefix"), port.Moment{Era: era, Revision: after}, time.Duration(wait)*time.Millisecond)
-	if failed(w, at, err) {
+	if writeError(w, at, err) {
 		return
 	}
-	reply(w, http.StatusOK, map[string]any{"events": items(entries), "currentRev": at.Revision})
+	writeStatusJSON(w, http.StatusOK, map[string]any{"events": encodeItems(entries), "currentRev": at.Revision})
 }
 
 func (m *Metadata) transaction(w http.ResponseWriter, r *http.Request) {
@@ -128,14 +131,14 @@
 			http.Error(w, "not yours", http.StatusForbidden)
 			return
 		}
-		if failed(w, m.directory.Moment(), m.directory.Put(r.Context(), s.Key, s.Value)) {
+		if writeError(w, m.directory.Moment(), m.directory.Put(r.Context(), s.Key, s.Value)) {
 			return
 		}
 	}
 	for _, key := range t.Remove {
-		if failed(w, m.directory.Moment(), m.directory.Remove(r.Context(), key)) {
+		if writeError(w, m.directory.Moment(), m.directory.Remove(r.Context(), key)) {
 			return
 		}
 	}
-	reply(w, http.StatusOK, map[string]any{"revision": m.directory.Moment().Revision})
+	writeStatusJSON(w, http.StatusOK, map[string]any{"revision": m.directory.Moment().Revision})
 }
--- a/bench/standin/platform.go
+++ b/bench/standin/platform.go
@@ -1,14 +1,14 @@
-// Package standin holds small programs that take the place of what surrounds a
-// fleet: the platform's store and instance list, upstreams that fail gray, and a
-// proxy that cuts and bends the links between them.
+// Package standin holds small servers that simulate the surroundings of a fleet: the
+// platform's store and instance list, upstreams with gray failures, and a proxy that
+// injects faults into the links between them.
 //
 // # Usage
 //
 //	p := standin.NewPlatform()
 //	http.ListenAndServe("127.0.0.1:8500", p)
 //
-// Each has a /control endpoint, by which a test changes its behaviour while it
-// runs as a process of its own.
+// Each has a control API over HTTP, through which a test changes the behaviour of a
+// server that runs in another process.
 package standin
 
 import (
@@ -27,16 +27,16 @@
 	"eiderfold/port"
 )
 
-// PlatformFaults is what is wrong with the platform.
+// PlatformFaults are the faults that a Platform injects.
 type PlatformFaults struct {
-	Out        bool          `json:"out"`         // Every call fails.
-	LoseWrites bool          `json:"lose_writes"` // Writes take effect and their answers get lost.
+	Out        bool          `json:"out"`         // Every request fails, except registrations and deregistrations.
+	LoseWrites bool          `json:"lose_writes"` // Writes take effect, but their responses are lost.
 	Delay      time.Duration `json:"delay"`
-	ListLag    time.Duration `json:"list_lag"`   // The instance list shows changes this much later.
-	WriteRate  int           `json:"write_rate"` // Writes a second, 0 for any.
+	ListLag    time.Duration `json:"list_lag"`   // Delay until a change shows in the instance list.
+	WriteRate  int           `json:"write_rate"` // Largest number of writes per second, 0 for no limit.
 }
 
-// PlatformCounts is what was asked of the platform.
+// PlatformCounts counts the requests to a platform's store and list.
 type PlatformCounts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
@@ -44,7 +44,7 @@
 	Refused int64 `json:"refused"`
 }
 
-// Platform speaks the parts of Consul's HTTP API that a node uses.
+// Platform implements the parts of Consul's HTTP API that a node uses.
 type Platform struct {
 	store   *memory.Store
 	list    *memory.List
@@ -55,13 +55,13 @@
 	watches atomic.Int64
 	refused atomic.Int64
 	mu      sync.Mutex
-	second  int64
+	second  int64 // Unix time that written counts for.
 	written int
 }
 
 const (
-	standardWait = 5 * time.Minute
-	maxValue     = 1 << 20
+	defaultWait  = 5 * time.Minute
+	maxValueSize = 1 << 20 // Bytes.
 )
 
 // NewPlatform returns an empty platform without faults.
@@ -78,16 +78,16 @@
 	return p
 }
 
-// Store returns the store behind, for tests in the same process.
+// Store returns the underlying store, for tests in the same process.
 func (p *Platform) Store() *memory.Store { return p.store }
 
 // ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
-// SetFaults changes what is wrong.
+// SetFaults replaces the faults.
 func (p *Platform) SetFaults(f PlatformFaults) { p.faults.Store(&f) }
 
-// faulty applies the faults before a call.
+// faulty wraps a handler with the faults.
 func (p *Platform) faulty(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		f := p.faults.Load()
@@ -98,19 +98,19 @@
 			return
 		}
 		if r.Method == http.MethodPut && f.LoseWrites {
-			next(&nobody{header: http.Header{}}, r)
+			next(&discardBody{header: http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
 		next(w, r)
 	}
 }
 
-// nobody is a ResponseWriter whose answer gets lost.
-type nobody struct{ header http.Header }
+// discardBody is a ResponseWriter that drops the body.
+type discardBody struct{ header http.Header }
 
-func (n *nobody) Header() http.Header         { return n.header }
-func (n *nobody) Write(b []byte) (int, error) { return len(b), nil }
-func (n *nobody) WriteHeader(int)             {}
+func (n *discardBody) Header() http.Header         { return n.header }
+func (n *discardBody) Write(b []byte) (int, error) { return len(b), nil }
+func (n *discardBody) WriteHeader(int)             {}
 
 func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
 	key, query := r.PathValue("key"), r.URL.Query()
@@ -118,10 +118,10 @@
 	case query.Has("keys"):
 		p.reads.Add(1)
 		keys, _ := p.store.Keys(r.Context(), key)
-		write(w, 0, keys)
+		writeJSON(w, 0, keys)
 	case query.Has("recurse"):
 		p.watches.Add(1)
-		ctx, cancel := waiting(r)
+		ctx, cancel := blockingContext(r)
 		defer cancel()
 		index, _ := strconv.ParseUint(query.Get("index"), 10, 64)
 		entries, next, _ := p.store.Watch(ctx, key, index)
@@ -137,11 +137,11 @@
 	}
 }
 
-// waiting gives a context for a blocking query.
-func waiting(r *http.Request) (context.Context, context.CancelFunc) {
+// blockingContext returns a context that ends when a blocking query times out.
+func blockingContext(r *http.Request) (context.Context, context.CancelFunc) {
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil {
-		wait = standardWait
+		wait = defaultWait
 	}
 	return context.WithTimeout(r.Context(), wait)
 }
@@ -162,24 +162,24 @@
 	for _, e := range entries {
 		pairs = append(pairs, kvPair{e.Key, e.Value, e.Version})
 	}
-	write(w, index, pairs)
+	writeJSON(w, index, pairs)
 }
 
-func write(w http.ResponseWriter, index uint64, value any) {
+func writeJSON(w http.ResponseWriter, index uint64, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
-	_ = json.NewEncoder(w).Encode(value) // A reader that is gone is its own loss.
+	_ = json.NewEncoder(w).Encode(value) // The client may have disconnected.
 }
 
 func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
 	p.writes.Add(1)
-	if !p.allowed() {
+	if !p.allowWrite() {
 		p.refused.Add(1)
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	value, err := io.ReadAll(io.LimitReader(r.Body, maxValue+1))
-	if err != nil || len(value) > maxValue {
+	value, err := io.ReadAll(io.LimitReader(r.Body, maxValueSize+1))
+	if err != nil || len(value) > maxValueSize {
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
 		return
 	}
@@ -189,10 +189,11 @@
 		return
 	}
 	swapped, _ := p.store.CompareAndSwap(r.Context(), port.Entry{Key: r.PathValue("key"), Value: value, Version: version})
-	write(w, 0, swapped)
+	writeJSON(w, 0, swapped)
 }
 
-func (p *Platform) allowed() bool {
+// allowWrite reports whether the write rate permits one more write in this second.
+func (p *Platform) allowWrite() bool {
 	rate := p.faults.Load().WriteRate
 	if rate == 0 {
 		return true
@@ -220,7 +221,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	p.later(func() {
+	p.afterLag(func() {
 		p.list.Put(reg.Name, port.Instance{
 			Name: reg.ID, Address: reg.Address + ":" + strconv.Itoa(reg.Port),
 			DataCentre: reg.Meta["data_centre"], Generation: reg.Meta["generation"], State: port.State(reg.Meta["state"]),
@@ -230,15 +231,15 @@
 
 func (p *Platform) deregister(_ http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	p.later(func() {
+	p.afterLag(func() {
 		if service, _, ok := p.list.Find(id); ok {
 			p.list.Remove(service, id)
 		}
 	})
 }
 
-// later makes the list lag.
-func (p *Platform) later(change func()) {
+// afterLag applies a change to the list after the configured lag.
+func (p *Platform) afterLag(change func()) {
 	if lag := p.faults.Load().ListLag; lag > 0 {
 		time.AfterFunc(lag, change)
 		return
@@ -258,23 +259,23 @@
 
 func (p *Platform) health(w http.ResponseWriter, r *http.Request) {
 	p.watches.Add(1)
-	ctx, cancel := waiting(r)
+	ctx, cancel := blockingContext(r)
 	defer cancel()
 	index, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	found, next, _ := p.list.Instances(ctx, r.PathValue("service"), index)
 	rows := make([]healthEntry, 0, len(found))
 	for _, i := range found {
 		var row healthEntry
-		where, err := netip.ParseAddrPort(i.Address)
+		addr, err := netip.ParseAddrPort(i.Address)
 		if err != nil {
 			continue
 		}
 		row.Node.Datacenter = i.DataCentre
-		row.Service.ID, row.Service.Address, row.Service.Port = i.Name, where.Addr().String(), int(where.Port())
+		row.Service.ID, row.Service.Address, row.Service.Port = i.Name, addr.Addr().String(), int(addr.Port())
 		row.Service.Meta = map[string]string{"state": string(i.State), "data_centre": i.DataCentre, "generation": i.Generation}
 		rows = append(rows, row)
 	}
-	write(w, next, rows)
+	writeJSON(w, next, rows)
 }
 
 func (p *Platform) control(w http.ResponseWriter, r *http.Request) {
@@ -287,7 +288,7 @@
 }
 
 func (p *Platform) counts(w http.ResponseWriter, _ *http.Request) {
-	write(w, 0, PlatformCounts{Reads: p.reads.Load(), Writes: p.writes.Load(), Watches: p.watches.Load(), Refused: p.refused.Load()})
+	writeJSON(w, 0, PlatformCounts{Reads: p.reads.Load(), Writes: p.writes.Load(), Watches: p.watches.Load(), Refused: p.refused.Load()})
 }
 
 // Registration returns the JSON that registers an instance.
--- a/bench/standin/platform_test.go
+++ b/bench/standin/platform_test.go
@@ -15,8 +15,8 @@
 	"eiderfold/port"
 )
 
-// platform starts the stand-in and returns the product's adapter to it.
-func platform(t *testing.T, options ...consul.Option) (*Platform, *consul.Client) {
+// startPlatform serves a new platform and returns it with the product's client for it.
+func startPlatform(t *testing.T, options ...consul.Option) (*Platform, *consul.Client) {
 	t.Helper()
 	p := NewPlatform()
 	server := httptest.NewServer(p)
@@ -25,7 +25,7 @@
 }
 
 func TestCompareAndSwap(t *testing.T) {
-	_, c := platform(t)
+	_, c := startPlatform(t)
 	_, err := c.Get(t.Context(), "k")
 	require.ErrorIs(t, err, port.ErrMissing)
 	for _, step := range []struct {
@@ -46,23 +46,23 @@
 	assert.ErrorIs(t, err, port.ErrUnavailable)
 }
 
-// TestWatch waits for a change below a prefix, and only there.
+// TestWatch checks that a watch returns for a change below its prefix only.
 func TestWatch(t *testing.T) {
-	_, c := platform(t)
+	_, c := startPlatform(t)
 	entries, index, err := c.Watch(t.Context(), "a/", 0)
 	require.NoError(t, err)
 	assert.Empty(t, entries)
 	require.NotZero(t, index)
-	type seen struct {
+	type watchResult struct {
 		entries []port.Entry
 		err     error
 	}
-	got := make(chan seen, 1)
+	got := make(chan watchResult, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		entries, _, err := c.Watch(ctx, "a/", index)
-		got <- seen{entries, err}
+		got <- watchResult{entries, err}
 	}()
 	for _, key := range []string{"b/x", "a/x"} {
 		_, err := c.CompareAndSwap(t.Context(), port.Entry{Key: key, Value: []byte(key)})
@@ -74,16 +74,17 @@
 	assert.Equal(t, "a/x", s.entries[0].Key)
 }
 
-// TestFaultsOfThePlatform tells what was surely not written from what may have been.
-func TestFaultsOfThePlatform(t *testing.T) {
-	p, c := platform(t)
+// TestPlatformFaults checks that the client distinguishes a write that did not take
+// effect from one whose outcome is unknown.
+func TestPlatformFaults(t *testing.T) {
+	p, c := startPlatform(t)
 	e := port.Entry{Key: "k", Value: []byte("v")}
 	p.SetFaults(PlatformFaults{LoseWrites: true})
 	_, err := c.CompareAndSwap(t.Context(), e)
 	assert.ErrorIs(t, err, port.ErrUnknown)
 	p.SetFaults(PlatformFaults{})
 	_, err = c.Get(t.Context(), "k")
-	require.NoError(t, err, "the lost answer's write took effect")
+	require.NoError(t, err, "the write whose response was lost took effect")
 	p.SetFaults(PlatformFaults{WriteRate: 1})
 	refused := 0
 	for range 5 {
@@ -98,9 +99,10 @@
 	assert.ErrorIs(t, err, port.ErrUnavailable)
 }
 
-// TestOwnRateLimit lets a client use up its own allowance.
-func TestOwnRateLimit(t *testing.T) {
-	p, c := platform(t, consul.WithRate(0.001, 2))
+// TestClientRateLimit exhausts the client's own rate limit: a request beyond it
+// fails without reaching the platform.
+func TestClientRateLimit(t *testing.T) {
+	p, c := startPlatform(t, consul.WithRate(0.001, 2))
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	for range 2 {
@@ -113,15 +115,15 @@
 }
 
 func TestInstances(t *testing.T) {
-	p, c := platform(t)
+	p, c := startPlatform(t)
 	server := httptest.NewServer(p)
 	defer server.Close()
 	text := Registration("certificados", "c-1", "10.0.0.1:9001", "cordon", "7", port.Leaving)
 	r, err := http.NewRequest(http.MethodPut, server.URL+"/v1/agent/service/register", strings.NewReader(text))
 	require.NoError(t, err)
-	answer, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	require.NoError(t, err)
-	_ = answer.Body.Close()
+	_ = resp.Body.Close()
 	found, _, err := c.Instances(t.Context(), "certificados", 0)
 	require.NoError(t, err)
 	assert.Equal(t, []port.Instance{{Name: "c-1", Address: "10.0.0.1:9001", DataCentre: "cordon", Generation: "7", State: port.Leaving}}, found)
--- a/bench/standin/upstream.go
+++ b/bench/standin/upstream.go
@@ -15,68 +15,68 @@
 	"time"
 )
 
-// Mode is how an upstream behaves.
+// Mode sets the faults that an upstream simulates.
 type Mode struct {
-	FailShare  float64       `json:"fail_share"`  // Share of real work answered with 500.
-	SlowFactor float64       `json:"slow_factor"` // 0 and 1 are the usual speed.
-	Hang       bool          `json:"hang"`        // Takes work and never answers.
-	Cut        float64       `json:"cut"`         // Share of answers that break off in the middle.
-	FlapPeriod time.Duration `json:"flap_period"` // Sick for one period, well for the next.
-	Shed       bool          `json:"shed"`        // Refuses all work by contract.
-	Leaving    bool          `json:"leaving"`     // Refuses new work, as it is on its way out.
-	BadCaller  string        `json:"bad_caller"`  // Client account whose requests fail everywhere.
-	Cold       time.Duration `json:"cold"`        // Twice as slow for this long after the start.
-}
-
-// UpstreamOptions are fixed for an upstream's life.
+	FailShare  float64       `json:"fail_share"`  // Share of requests that get 500.
+	SlowFactor float64       `json:"slow_factor"` // Factor on the work time; 0 and 1 are normal speed.
+	Hang       bool          `json:"hang"`        // Accepts requests and does not respond for hangLimit.
+	Cut        float64       `json:"cut"`         // Share of responses that are truncated halfway.
+	FlapPeriod time.Duration `json:"flap_period"` // Time for which FailShare, SlowFactor, Hang and Cut alternately apply and do not; 0 for always.
+	Shed       bool          `json:"shed"`        // Refuses all requests with 503 and Retry-After.
+	Leaving    bool          `json:"leaving"`     // Refuses all requests as Shed does and reports that it is shutting down.
+	BadCaller  string        `json:"bad_caller"`  // Client account whose requests always get 500.
+	Cold       time.Duration `json:"cold"`        // Time after the start in which work takes twice as long.
+}
+
+// UpstreamOptions are the settings of an upstream that do not change while it runs.
 type UpstreamOptions struct {
 	Name  string
-	Slots int
-	Work  time.Duration // Median time of a piece of work.
-	Sigma float64       // Spread of its logarithm; 0.5 is usual, 1.0 a heavy tail.
-	Log   string        // File to append every start of real work to.
+	Slots int           // Requests that it works on at once.
+	Work  time.Duration // Median work time of a request.
+	Sigma float64       // Standard deviation of the logarithm of the work time; 0.5 is typical, 1.0 has a heavy tail.
+	Log   string        // File to which the start of each request's work is appended.
 	Seed  uint64
 }
 
-// Upstream is a stand-in for a service's instance. Its /health always lies that
-// all is well, as gray failures do.
+// Upstream simulates an instance of a service. Its /health endpoint reports success
+// in every mode, as in a gray failure.
 type Upstream struct {
-	o       UpstreamOptions
-	mux     *http.ServeMux
-	mode    atomic.Pointer[Mode]
-	slots   chan struct{}
-	started time.Time
-	since   atomic.Int64 // Unix nanoseconds of the last change of mode.
-	mu      sync.Mutex
-	random  *rand.Rand
-	log     *bufio.Writer
-	file    *os.File
-	counts  UpstreamCounts
-}
-
-// UpstreamCounts is what an upstream did.
+	o           UpstreamOptions
+	mux         *http.ServeMux
+	mode        atomic.Pointer[Mode]
+	slots       chan struct{}
+	started     time.Time
+	modeChanged atomic.Int64 // Unix nanoseconds of the last change of mode.
+	mu          sync.Mutex
+	random      *rand.Rand
+	log         *bufio.Writer
+	file        *os.File
+	counts      UpstreamCounts
+}
+
+// UpstreamCounts counts the requests of an upstream by outcome.
 type UpstreamCounts struct {
-	Started int64 `json:"started"`
-	Good    int64 `json:"good"`
-	Failed  int64 `json:"failed"`
-	Shed    int64 `json:"shed"`
-	Late    int64 `json:"late"` // Refused to start as the deadline had passed.
-	// Hit lists when real work came, as Unix milliseconds since the last change of
-	// mode, for telling how long a sick upstream kept getting some.
+	Started   int64 `json:"started"`
+	Succeeded int64 `json:"good"`
+	Failed    int64 `json:"failed"`
+	Shed      int64 `json:"shed"`
+	Expired   int64 `json:"late"` // Refused because the deadline had passed.
+	// Hits lists when requests arrived, in milliseconds since the last change of mode.
+	// It shows for how long an unhealthy upstream kept receiving requests.
 	Hits []int64 `json:"hits,omitempty"`
 }
 
 const (
-	slowFactorCold = 2
+	coldSlowFactor = 2
 	hangLimit      = time.Minute
 	shedRetryAfter = "1"
 )
 
-// NewUpstream returns an upstream in good health.
+// NewUpstream returns a healthy upstream.
 func NewUpstream(o UpstreamOptions) (*Upstream, error) {
 	u := &Upstream{o: o, mux: http.NewServeMux(), slots: make(chan struct{}, o.Slots), started: time.Now(), random: rand.New(rand.NewPCG(o.Seed, o.Seed))}
 	u.mode.Store(&Mode{})
-	u.since.Store(u.started.UnixNano())
+	u.modeChanged.Store(u.started.UnixNano())
 	if o.Log != "" {
 		f, err := os.OpenFile(o.Log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 		if err != nil {
@@ -86,31 +86,31 @@
 	}
 	u.mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	u.mux.HandleFunc("PUT /control", u.control)
-	u.mux.HandleFunc("GET /control", u.show)
-	u.mux.HandleFunc("/", u.work)
+	u.mux.HandleFunc("GET /control", u.showCounts)
+	u.mux.HandleFunc("/", u.serveWork)
 	return u, nil
 }
 
 // ServeHTTP implements http.Handler.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) { u.mux.ServeHTTP(w, r) }
 
-// SetMode changes how the upstream behaves.
+// SetMode replaces the mode and clears the hits.
 func (u *Upstream) SetMode(m Mode) {
 	u.mu.Lock()
 	u.counts.Hits = nil
 	u.mu.Unlock()
-	u.since.Store(time.Now().UnixNano())
+	u.modeChanged.Store(time.Now().UnixNano())
 	u.mode.Store(&m)
 }
 
-// work does a piece of real work.
-func (u *Upstream) work(w http.ResponseWriter, r *http.Request) {
+// serveWork handles a request.
+func (u *Upstream) serveWork(w http.ResponseWriter, r *http.Request) {
 	m := u.mode.Load()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // Half a request is no request.
+		return // Ignores an incomplete request.
 	}
-	u.hit()
+	u.recordHit()
 	if m.Leaving || m.Shed {
 		u.refuse(w, m)
 		return
@@ -122,32 +122,32 @@
 		u.refuse(w, m)
 		return
 	}
-	if passed(r) {
-		u.add(func(c *UpstreamCounts) { c.Late++ })
+	if deadlinePassed(r) {
+		u.updateCounts(func(c *UpstreamCounts) { c.Expired++ })
 		w.Header().Set("Retry-After", shedRetryAfter)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	u.start(r)
-	sick := m.FlapPeriod == 0 || time.Since(time.Unix(0, u.since.Load()))/m.FlapPeriod%2 == 0
-	u.labour(r, m, sick)
-	if sick && u.draw() < m.FailShare || m.BadCaller != "" && r.Header.Get("Eiderfold-Account") == m.BadCaller {
-		u.add(func(c *UpstreamCounts) { c.Failed++ })
+	u.recordStart(r)
+	unhealthy := m.FlapPeriod == 0 || time.Since(time.Unix(0, u.modeChanged.Load()))/m.FlapPeriod%2 == 0
+	u.simulateWork(r, m, unhealthy)
+	if unhealthy && u.randomFloat() < m.FailShare || m.BadCaller != "" && r.Header.Get("Eiderfold-Account") == m.BadCaller {
+		u.updateCounts(func(c *UpstreamCounts) { c.Failed++ })
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	u.add(func(c *UpstreamCounts) { c.Good++ })
-	u.answer(w, r, body, sick && u.draw() < m.Cut)
+	u.updateCounts(func(c *UpstreamCounts) { c.Succeeded++ })
+	u.respond(w, r, body, unhealthy && u.randomFloat() < m.Cut)
 }
 
-// passed refuses work whose deadline has passed, as the contract says.
-func passed(r *http.Request) bool {
+// deadlinePassed reports whether the request's deadline, if it has one, has passed.
+func deadlinePassed(r *http.Request) bool {
 	deadline, err := strconv.ParseInt(r.Header.Get("Eiderfold-Deadline"), 10, 64)
 	return err == nil && time.Now().UnixMilli() > deadline
 }
 
 func (u *Upstream) refuse(w http.ResponseWriter, m *Mode) {
-	u.add(func(c *UpstreamCounts) { c.Shed++ })
+	u.updateCounts(func(c *UpstreamCounts) { c.Shed++ })
 	if m.Leaving {
 		w.Header().Set("Upstream-State", "leaving")
 	}
@@ -155,9 +155,9 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// start notes that work has begun, before any of it is done.
-func (u *Upstream) start(r *http.Request) {
-	u.add(func(c *UpstreamCounts) { c.Started++ })
+// recordStart counts and logs the start of the work, before any of it is done.
+func (u *Upstream) recordStart(r *http.Request) {
+	u.updateCounts(func(c *UpstreamCounts) { c.Started++ })
 	if u.log == nil {
 		return
 	}
@@ -167,8 +167,8 @@
 	_ = u.log.Flush()
 }
 
-func (u *Upstream) labour(r *http.Request, m *Mode, sick bool) {
-	if sick && m.Hang {
+func (u *Upstream) simulateWork(r *http.Request, m *Mode, unhealthy bool) {
+	if unhealthy && m.Hang {
 		select {
 		case <-time.After(hangLimit):
 		case <-r.Context().Done():
@@ -178,11 +178,11 @@
 	u.mu.Lock()
 	factor := lognormal(u.random, u.o.Sigma)
 	u.mu.Unlock()
-	if sick && m.SlowFactor > 0 {
+	if unhealthy && m.SlowFactor > 0 {
 		factor *= m.SlowFactor
 	}
 	if time.Since(u.started) < m.Cold {
-		factor *= slowFactorCold
+		factor *= coldSlowFactor
 	}
 	select {
 	case <-time.After(time.Duration(float64(u.o.Work) * factor)):
@@ -190,9 +190,9 @@
 	}
 }
 
-// answer carries the request's own mark and a checksum, by which a caller tells
-// that it is whole and its own.
-func (u *Upstream) answer(w http.ResponseWriter, r *http.Request, body []byte, cut bool) {
+// respond writes the request's mark, the upstream's name, the request's body and a
+// checksum, by which a caller checks that the response is complete and its own.
+func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, body []byte, cut bool) {
 	text := fmt.Sprintf("%s %s %s", r.Header.Get("X-Mark"), u.o.Name, body)
 	text += fmt.Sprintf(" %08x", crc32.ChecksumIEEE([]byte(text)))
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -200,21 +200,21 @@
 		_, _ = io.WriteString(w, text[:len(text)/2])
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = io.WriteString(w, text) // The caller may be gone.
+	_, _ = io.WriteString(w, text) // The client may have disconnected.
 }
 
-func (u *Upstream) hit() {
-	at := time.Since(time.Unix(0, u.since.Load())).Milliseconds()
-	u.add(func(c *UpstreamCounts) { c.Hits = append(c.Hits, at) })
+func (u *Upstream) recordHit() {
+	at := time.Since(time.Unix(0, u.modeChanged.Load())).Milliseconds()
+	u.updateCounts(func(c *UpstreamCounts) { c.Hits = append(c.Hits, at) })
 }
 
-func (u *Upstream) draw() float64 {
+func (u *Upstream) randomFloat() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.random.Float64()
 }
 
-func (u *Upstream) add(change func(*UpstreamCounts)) {
+func (u *Upstream) updateCounts(change func(*UpstreamCounts)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	change(&u.counts)
@@ -229,8 +229,8 @@
 	u.SetMode(m)
 }
 
-func (u *Upstream) show(w http.ResponseWriter, _ *http.Request) {
+func (u *Upstream) showCounts(w http.ResponseWriter, _ *http.Request) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	write(w, 0, u.counts)
+	writeJSON(w, 0, u.counts)
 }
