--- a/bench/e2e/faults_test.go
+++ b/bench/e2e/faults_test.go
@@ -240,7 +240,7 @@
 		})
 	}
 	for _, n := range f.Nodes {
-		require.NoError(t, f.Register("eiderfold-montevideo", n.Name, n.Peers(), "sede-central", port.Leaving))
+		require.NoError(t, f.Register("eiderfold-montevideo", n.Name, n.PeerAddress(), "sede-central", port.Leaving))
 		n.Stop()
 		require.NoError(t, f.Restart(t.Context(), n))
 		require.Eventually(t, func() bool { return ready(f, n) }, patience, pace)
--- a/bench/fleet/control.go
+++ b/bench/fleet/control.go
@@ -23,13 +23,14 @@
 // Control runs eiderctl against a node.
 func (f *Fleet) Control(node int, arguments ...string) (string, error) {
 	c := exec.Command(f.binaries.Control, arguments...)
-	c.Env = append(os.Environ(), "EIDERCTL_ADDRESS=http://"+f.Nodes[node].Admin(), "EIDERCTL_TOKEN="+f.token)
+	c.Env = append(os.Environ(), "EIDERCTL_ADDRESS=http://"+f.Nodes[node].AdminAddress(), "EIDERCTL_TOKEN="+f.token)
 	output, err := c.CombinedOutput()
 	return string(output), err
 }
 
-// WaitReady waits until every node has the configuration and a coordinator that
-// decides.
+// WaitReady waits until every running node has the configuration, a lease and all
+// upstreams, and exactly one coordinator makes decisions. With a baseline policy it
+// does not wait for the coordinator.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
@@ -42,7 +43,7 @@
 }
 
 func (f *Fleet) ready() bool {
-	deciding := 0
+	decidingNodes := 0
 	for _, n := range f.Nodes {
 		if !n.Running() {
 			continue
@@ -61,29 +62,30 @@
 			}
 		}
 		if g.Deciding {
-			deciding++
+			decidingNodes++
 		}
 	}
-	return deciding == 1 || f.options.Policy != ""
+	return decidingNodes == 1 || f.options.Policy != ""
 }
 
-// Dump asks a node for its state.
+// Dump returns a node's state from its admin API.
 func (f *Fleet) Dump(n *Node) (node.Dump, error) {
 	var d node.Dump
-	r, err := http.NewRequest(http.MethodGet, "http://"+n.Admin()+"/v1/dump", nil)
+	r, err := http.NewRequest(http.MethodGet, "http://"+n.AdminAddress()+"/v1/dump", nil)
 	if err != nil {
 		return d, err
 	}
 	r.Header.Set("Authorization", "Bearer "+f.token)
-	answer, err := (&http.Client{Timeout: 2 * time.Second}).Do(r)
+	resp, err := (&http.Client{Timeout: 2 * time.Second}).Do(r)
 	if err != nil {
 		return d, err
 	}
-	defer answer.Body.Close() //nolint:errcheck // Only read from.
-	return d, json.NewDecoder(answer.Body).Decode(&d)
+	defer resp.Body.Close() //nolint:errcheck // Only read from.
+	return d, json.NewDecoder(resp.Body).Decode(&d)
 }
 
-// Coordinator returns the node that coordinates, nil if there is none.
+// Coordinator returns the first running node that reports that it leads, nil if there
+// is none.
 func (f *Fleet) Coordinator() *Node {
 	for _, n := range f.Nodes {
 		if !n.Running() {
@@ -96,50 +98,52 @@
 	return nil
 }
 
-// SetMode changes how an upstream behaves.
+// SetMode replaces the mode of an upstream.
 func (f *Fleet) SetMode(name string, m standin.Mode) error {
 	return control(f.Upstream(name).Address, m)
 }
 
-// SetPlatform changes what is wrong with the platform.
+// SetPlatform replaces the faults of the platform.
 func (f *Fleet) SetPlatform(faults standin.PlatformFaults) error {
-	return control(f.Platform, faults)
+	return control(f.PlatformAddress, faults)
 }
 
-// SetRules bends links, besides the delays between data centres.
+// SetRules replaces the rules of the links. The delays between data centres apply
+// where none of them matches.
 func (f *Fleet) SetRules(rules []standin.Rule) error {
-	return send(http.MethodPut, "http://"+f.Cutter+"/rules", append(slices.Clone(rules), f.base...), nil)
+	return send(http.MethodPut, "http://"+f.FaultProxyAddress+"/rules", append(slices.Clone(rules), f.delays...), nil)
 }
 
-// Counts returns what an upstream did.
+// Counts returns an upstream's request counts.
 func (f *Fleet) Counts(name string) (standin.UpstreamCounts, error) {
 	var c standin.UpstreamCounts
 	err := fetch("http://"+f.Upstream(name).Address+"/control", &c)
 	return c, err
 }
 
-// PlatformCounts returns what was asked of the platform.
+// PlatformCounts returns the platform's request counts.
 func (f *Fleet) PlatformCounts() (standin.PlatformCounts, error) {
 	var c standin.PlatformCounts
-	err := fetch("http://"+f.Platform+"/control", &c)
+	err := fetch("http://"+f.PlatformAddress+"/control", &c)
 	return c, err
 }
 
-// Register puts an instance on the platform's list, or changes its state.
-func (f *Fleet) Register(service, name, address, centre string, state port.State) error {
-	text := standin.Registration(service, name, address, centre, strconv.Itoa(f.generation), state)
-	return send(http.MethodPut, "http://"+f.Platform+"/v1/agent/service/register", json.RawMessage(text), nil)
+// Register adds an instance to the platform's list or changes its state.
+func (f *Fleet) Register(service, name, address, dataCentre string, state port.State) error {
+	text := standin.Registration(service, name, address, dataCentre, strconv.Itoa(f.generation), state)
+	return send(http.MethodPut, "http://"+f.PlatformAddress+"/v1/agent/service/register", json.RawMessage(text), nil)
 }
 
-// Deregister takes an instance off the platform's list.
+// Deregister removes an instance from the platform's list.
 func (f *Fleet) Deregister(name string) error {
-	return send(http.MethodPut, "http://"+f.Platform+"/v1/agent/service/deregister/"+name, struct{}{}, nil)
+	return send(http.MethodPut, "http://"+f.PlatformAddress+"/v1/agent/service/deregister/"+name, struct{}{}, nil)
 }
 
+// link opens a link through the fault proxy and returns the address it listens on.
 func (f *Fleet) link(l standin.Link) (string, error) {
-	var where bytes.Buffer
-	err := send(http.MethodPost, "http://"+f.Cutter+"/link", l, &where)
-	return where.String(), err
+	var addr bytes.Buffer
+	err := send(http.MethodPost, "http://"+f.FaultProxyAddress+"/link", l, &addr)
+	return addr.String(), err
 }
 
 func control(address string, value any) error {
@@ -155,26 +159,26 @@
 	if err != nil {
 		return err
 	}
-	answer, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close() //nolint:errcheck // Only read from.
-	if answer.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(answer.Body)
+	defer resp.Body.Close() //nolint:errcheck // Only read from.
+	if resp.StatusCode != http.StatusOK {
+		text, _ := io.ReadAll(resp.Body)
 		return errors.Errorf("%s: %s", url, strings.TrimSpace(string(text)))
 	}
 	if into != nil {
-		_, err = io.Copy(into, answer.Body)
+		_, err = io.Copy(into, resp.Body)
 	}
 	return err
 }
 
 func fetch(url string, into any) error {
-	answer, err := http.Get(url)
+	resp, err := http.Get(url)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close() //nolint:errcheck // Only read from.
-	return json.NewDecoder(answer.Body).Decode(into)
+	defer resp.Body.Close() //nolint:errcheck // Only read from.
+	return json.NewDecoder(resp.Body).Decode(into)
 }
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -19,28 +19,29 @@
 	"eiderfold/port"
 )
 
-// Deployment says what runs where; it is read from a data file.
+// Deployment describes the services, upstreams, nodes and accounts to run, as read
+// from a YAML file.
 type Deployment struct {
 	Name        string        `yaml:"name"`
-	Template    string        `yaml:"template"` // YAML file beside the deployment's.
+	Template    string        `yaml:"template"` // YAML file, relative to the deployment file's directory.
 	DataCentres []string      `yaml:"data_centres"`
-	OneWay      time.Duration `yaml:"one_way"` // Between data centres.
-	Work        time.Duration `yaml:"work"`
-	Sigma       float64       `yaml:"sigma"`
-	Slots       int           `yaml:"slots"`
+	OneWayDelay time.Duration `yaml:"one_way"` // Delay between data centres in each direction.
+	Work        time.Duration `yaml:"work"`    // Median work time of a request.
+	Sigma       float64       `yaml:"sigma"`   // Standard deviation of the logarithm of the work time.
+	Slots       int           `yaml:"slots"`   // Of each upstream.
 	Services    []struct {
 		Name      string `yaml:"name"`
 		Upstreams int    `yaml:"upstreams"`
-		Floor     int    `yaml:"floor"`  // As in the template, for the checks.
+		Floor     int    `yaml:"floor"`  // Same as the template's, for the checks.
 		Lookup    string `yaml:"lookup"` // Path of a retryable GET.
 		Order     string `yaml:"order"`  // Path of an at-most-once POST.
 	} `yaml:"services"`
-	Nodes    int                          `yaml:"nodes"` // 0 for one beside each upstream.
-	Accounts map[string]map[string]string `yaml:"accounts"`
-	source   string
+	Nodes        int                          `yaml:"nodes"`    // 0 for one beside each upstream.
+	Accounts     map[string]map[string]string `yaml:"accounts"` // Parameters by account name.
+	templatePath string
 }
 
-// ReadDeployment reads a deployment's file and its template's.
+// ReadDeployment reads a deployment file and resolves its template's path.
 func ReadDeployment(path string) (*Deployment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -50,92 +51,96 @@
 	if err := yaml.UnmarshalWithOptions(text, d, yaml.Strict()); err != nil {
 		return nil, errors.Errorf("%s: %s", path, yaml.FormatError(err, false, true))
 	}
-	d.source = filepath.Join(filepath.Dir(path), d.Template)
+	d.templatePath = filepath.Join(filepath.Dir(path), d.Template)
 	return d, nil
 }
 
 // Options change how a deployment is run.
 type Options struct {
-	Dir  string // For logs and settings.
+	Dir  string // Directory of logs and settings.
 	Seed uint64
-	Base byte // Third number of the nodes' IP numbers, so that two fleets can run at a time.
-	// Linked puts the cutter between nodes, and between nodes and upstreams.
+	// Base numbers the /24 network of the nodes' IP addresses, 127.0.(Base+1).0, so
+	// that several fleets can run at once.
+	Base byte
+	// Linked puts the fault proxy between nodes, and between nodes and upstreams.
 	Linked bool
-	// Policy names a baseline to run in place of the product's decisions.
+	// Policy names a baseline policy to run instead of the product's; empty for the
+	// product's.
 	Policy string
 	// Log is the nodes' log level; info by default.
 	Log string
 }
 
-// Node is a node of the fleet. Its process and addresses change when it is
-// restarted, while a load reads them.
+// Node is a node of the fleet. A restart replaces its process and addresses while a
+// load generator may read them.
 type Node struct {
-	Name   string
-	IP     string
-	centre string
-	file   string
-	now    atomic.Pointer[place]
+	Name         string
+	IP           string
+	dataCentre   string
+	settingsPath string
+	current      atomic.Pointer[nodeProcess]
 }
 
-// place is one process of a node.
-type place struct {
+// nodeProcess holds a node's process and its addresses.
+type nodeProcess struct {
 	process               *Process
 	callers, admin, peers string
 }
 
 // Callers returns the IP:port for callers.
-func (n *Node) Callers() string { return n.now.Load().callers }
+func (n *Node) Callers() string { return n.current.Load().callers }
 
-// Admin returns the IP:port of the admin API.
-func (n *Node) Admin() string { return n.now.Load().admin }
+// AdminAddress returns the IP:port of the admin API.
+func (n *Node) AdminAddress() string { return n.current.Load().admin }
 
-// Peers returns the IP:port for other nodes, as the platform lists it.
-func (n *Node) Peers() string { return n.now.Load().peers }
+// PeerAddress returns the IP:port for other nodes, as the platform lists it.
+func (n *Node) PeerAddress() string { return n.current.Load().peers }
 
 // PID returns the process id.
-func (n *Node) PID() int { return n.now.Load().process.PID() }
+func (n *Node) PID() int { return n.current.Load().process.PID() }
 
-// Running reports whether the node's process has not ended.
-func (n *Node) Running() bool { return n.now.Load().process.Running() }
+// Running reports whether the node's process has not exited.
+func (n *Node) Running() bool { return n.current.Load().process.Running() }
 
 // Signal sends the node's process a signal.
-func (n *Node) Signal(s os.Signal) error { return n.now.Load().process.Signal(s) }
+func (n *Node) Signal(s os.Signal) error { return n.current.Load().process.Signal(s) }
 
-// Kill ends the node's process at once.
-func (n *Node) Kill() { n.now.Load().process.Kill() }
+// Kill kills the node's process.
+func (n *Node) Kill() { n.current.Load().process.Kill() }
 
-// Stop ends the node's process by plan.
-func (n *Node) Stop() { n.now.Load().process.Stop() }
+// Stop terminates the node's process gracefully.
+func (n *Node) Stop() { n.current.Load().process.Stop() }
 
-// Upstream is a running stand-in.
+// Upstream is a running simulated upstream.
 type Upstream struct {
 	*Process
-	Name    string
-	Service string
-	Address string // Its own.
-	Listed  string // As the platform lists it.
-	Starts  string // Log of every start of work.
-	centre  string
+	Name          string
+	Service       string
+	Address       string // Address that the process listens on.
+	ListedAddress string // Address in the platform's list; a link's if Options.Linked.
+	Starts        string // File that logs the start of each request's work.
+	dataCentre    string
 }
 
 // Fleet is a running deployment.
 type Fleet struct {
-	Deployment *Deployment
-	Nodes      []*Node
-	Upstreams  []*Upstream
-	binaries   Binaries
-	options    Options
-	platform   *Process
-	Platform   string
-	cutter     *Process
-	Cutter     string
-	base       []standin.Rule
-	authority  *keys.Authority
-	token      string
-	generation int
+	Deployment        *Deployment
+	Nodes             []*Node
+	Upstreams         []*Upstream
+	binaries          Binaries
+	options           Options
+	platform          *Process
+	PlatformAddress   string
+	faultProxy        *Process
+	FaultProxyAddress string         // Of its control API.
+	delays            []standin.Rule // Between data centres.
+	authority         *keys.Authority
+	token             string
+	generation        int
 }
 
-// Start runs a deployment and publishes its template and accounts.
+// Start runs a deployment, publishes its template and accounts, and waits until it is
+// ready.
 func Start(ctx context.Context, b Binaries, d *Deployment, o Options) (*Fleet, error) {
 	f := &Fleet{Deployment: d, binaries: b, options: o, token: "operators-token-0001"}
 	if err := f.start(ctx); err != nil {
@@ -150,10 +155,10 @@
 	if f.authority, err = keys.NewAuthority(f.Deployment.Name); err != nil {
 		return err
 	}
-	if f.platform, f.Platform, err = f.standin(ctx, "platform"); err != nil {
+	if f.platform, f.PlatformAddress, err = f.startStandin(ctx, "platform"); err != nil {
 		return err
 	}
-	if f.cutter, f.Cutter, err = f.standin(ctx, "cutter"); err != nil {
+	if f.faultProxy, f.FaultProxyAddress, err = f.startStandin(ctx, "cutter"); err != nil {
 		return err
 	}
 	if err := f.startUpstreams(ctx); err != nil {
@@ -168,7 +173,7 @@
 			return err
 		}
 	}
-	f.base = f.delays()
+	f.delays = f.delayRules()
 	if err := f.SetRules(nil); err != nil {
 		return err
 	}
@@ -178,7 +183,8 @@
 	return f.WaitReady(ctx)
 }
 
-func (f *Fleet) standin(ctx context.Context, kind string, arguments ...string) (*Process, string, error) {
+// startStandin runs a simulated server of the given kind and returns its address.
+func (f *Fleet) startStandin(ctx context.Context, kind string, arguments ...string) (*Process, string, error) {
 	name := kind
 	if len(arguments) > 1 {
 		name = arguments[1]
@@ -189,7 +195,7 @@
 func (f *Fleet) startUpstreams(ctx context.Context) error {
 	for _, s := range f.Deployment.Services {
 		for i := 1; i <= s.Upstreams; i++ {
-			u := &Upstream{Name: s.Name + "-" + strconv.Itoa(i), Service: s.Name, centre: f.centre(len(f.Upstreams))}
+			u := &Upstream{Name: s.Name + "-" + strconv.Itoa(i), Service: s.Name, dataCentre: f.dataCentre(len(f.Upstreams))}
 			if err := f.startUpstream(ctx, u); err != nil {
 				return err
 			}
@@ -204,34 +210,34 @@
 	f.generation++
 	u.Starts = filepath.Join(f.options.Dir, u.Name+".starts")
 	var err error
-	u.Process, u.Address, err = f.standin(ctx, "upstream", "--name", u.Name,
+	u.Process, u.Address, err = f.startStandin(ctx, "upstream", "--name", u.Name,
 		"--slots", strconv.Itoa(d.Slots), "--work", d.Work.String(), "--sigma", fmt.Sprint(d.Sigma),
 		"--log", u.Starts, "--seed", strconv.FormatUint(f.options.Seed+uint64(f.generation), 10))
 	if err != nil {
 		return err
 	}
-	u.Listed = u.Address
+	u.ListedAddress = u.Address
 	if f.options.Linked {
-		if u.Listed, err = f.link(standin.Link{Name: u.Name, Network: "tcp", Listen: "127.0.0.1:0", Target: u.Address}); err != nil {
+		if u.ListedAddress, err = f.link(standin.Link{Name: u.Name, Network: "tcp", Listen: "127.0.0.1:0", Target: u.Address}); err != nil {
 			return err
 		}
 	}
-	return f.Register(u.Service, u.Name, u.Listed, u.centre, port.Live)
+	return f.Register(u.Service, u.Name, u.ListedAddress, u.dataCentre, port.Live)
 }
 
-// ReplaceUpstream kills an upstream and starts another one under its name.
+// ReplaceUpstream kills an upstream and starts another one with the same name.
 func (f *Fleet) ReplaceUpstream(ctx context.Context, name string) error {
 	u := f.Upstream(name)
 	u.Kill()
 	return f.startUpstream(ctx, u)
 }
 
-func (f *Fleet) centre(i int) string {
+func (f *Fleet) dataCentre(i int) string {
 	return f.Deployment.DataCentres[i%len(f.Deployment.DataCentres)]
 }
 
 func (f *Fleet) startNode(ctx context.Context, i int) error {
-	n := &Node{Name: "node-" + strconv.Itoa(i+1), IP: fmt.Sprintf("127.0.%d.%d", f.options.Base+1, i+1), centre: f.centre(i)}
+	n := &Node{Name: "node-" + strconv.Itoa(i+1), IP: fmt.Sprintf("127.0.%d.%d", f.options.Base+1, i+1), dataCentre: f.dataCentre(i)}
 	beside := ""
 	if i < len(f.Upstreams) && f.Deployment.Nodes == 0 {
 		beside = f.Upstreams[i].Name
@@ -240,8 +246,8 @@
 	if err != nil {
 		return err
 	}
-	n.file = filepath.Join(f.options.Dir, n.Name+".yaml")
-	if err := os.WriteFile(n.file, text, 0o600); err != nil {
+	n.settingsPath = filepath.Join(f.options.Dir, n.Name+".yaml")
+	if err := os.WriteFile(n.settingsPath, text, 0o600); err != nil {
 		return errors.Wrap(err, "settings")
 	}
 	if err := f.run(ctx, n); err != nil {
@@ -251,9 +257,9 @@
 	return nil
 }
 
-// run starts a node's process and puts it on the platform's list.
+// run starts a node's process and registers the node with the platform.
 func (f *Fleet) run(ctx context.Context, n *Node) error {
-	program, arguments := f.binaries.Node, []string{"run", "--settings", n.file}
+	program, arguments := f.binaries.Node, []string{"run", "--settings", n.settingsPath}
 	if f.options.Policy != "" {
 		program, arguments = f.binaries.Baseline, append([]string{f.options.Policy}, arguments...)
 	}
@@ -261,23 +267,23 @@
 	if err != nil {
 		return err
 	}
-	found, err := p.wait(ctx)
+	addresses, err := p.wait(ctx)
 	if err != nil {
 		p.Kill()
 		return err
 	}
-	peers := found["peers"]
+	peers := addresses["peers"]
 	if f.options.Linked {
 		if peers, err = f.link(standin.Link{Name: n.Name, Network: "udp", Listen: "127.0.0.1:0", Target: peers}); err != nil {
 			p.Kill()
 			return err
 		}
 	}
-	n.now.Store(&place{p, found["callers"], found["admin"], peers})
-	return f.Register(node.NodeList(f.Deployment.Name), n.Name, peers, n.centre, port.Live)
+	n.current.Store(&nodeProcess{p, addresses["callers"], addresses["admin"], peers})
+	return f.Register(node.NodeList(f.Deployment.Name), n.Name, peers, n.dataCentre, port.Live)
 }
 
-// Restart runs a node again that has ended.
+// Restart starts a node whose process has exited.
 func (f *Fleet) Restart(ctx context.Context, n *Node) error { return f.run(ctx, n) }
 
 func (f *Fleet) settings(n *Node, beside string) ([]byte, error) {
@@ -291,12 +297,12 @@
 	}
 	return yaml.Marshal(map[string]any{
 		"node":        n.Name,
-		"data_centre": n.centre,
+		"data_centre": n.dataCentre,
 		"beside":      beside,
 		"templates":   []string{f.Deployment.Name},
 		"seeds":       f.seeds(),
 		"listen":      map[string]string{"callers": n.IP + ":0", "admin": n.IP + ":0", "peers": n.IP + ":0"},
-		"platform":    map[string]string{"address": "http://" + f.Platform},
+		"platform":    map[string]string{"address": "http://" + f.PlatformAddress},
 		"keys":        map[string]string{"certificate": string(pair.Certificate), "key": string(pair.Key), "authority": string(f.authority.Certificate())},
 		"teams":       []map[string]any{{"name": "operators", "token": f.token, "templates": []string{"*"}}},
 		"stop":        map[string]string{"grace": "500ms"},
@@ -304,56 +310,56 @@
 	})
 }
 
-// seeds are the nodes that run already.
+// seeds returns the peer addresses of the nodes that were started so far.
 func (f *Fleet) seeds() []string {
 	seeds := []string{}
 	for _, n := range f.Nodes {
-		seeds = append(seeds, n.Peers())
+		seeds = append(seeds, n.PeerAddress())
 	}
 	return seeds
 }
 
-// delays are the rules that put the data centres apart.
-func (f *Fleet) delays() []standin.Rule {
+// delayRules returns the rules that delay the links between data centres.
+func (f *Fleet) delayRules() []standin.Rule {
 	var rules []standin.Rule
 	for _, n := range f.Nodes {
 		for _, u := range f.Upstreams {
-			if u.centre != n.centre {
-				rules = append(rules, standin.Rule{From: n.IP, To: u.Name, Delay: f.Deployment.OneWay})
+			if u.dataCentre != n.dataCentre {
+				rules = append(rules, standin.Rule{From: n.IP, To: u.Name, Delay: f.Deployment.OneWayDelay})
 			}
 		}
 		for _, m := range f.Nodes {
-			if m.centre != n.centre {
-				rules = append(rules, standin.Rule{From: n.IP, To: m.Name, Delay: f.Deployment.OneWay})
+			if m.dataCentre != n.dataCentre {
+				rules = append(rules, standin.Rule{From: n.IP, To: m.Name, Delay: f.Deployment.OneWayDelay})
 			}
 		}
 	}
 	return rules
 }
 
-// CutOff returns rules that cut a data centre off from all others, both ways; none
-// for an empty name.
-func (f *Fleet) CutOff(centre string) []standin.Rule {
+// CutOff returns the rules that cut a data centre off from all others in both
+// directions; none for an empty name.
+func (f *Fleet) CutOff(dataCentre string) []standin.Rule {
 	var rules []standin.Rule
-	cut := func(n *Node, to, toCentre string) {
-		if centre != "" && (n.centre == centre) != (toCentre == centre) {
+	cut := func(n *Node, to, toDataCentre string) {
+		if dataCentre != "" && (n.dataCentre == dataCentre) != (toDataCentre == dataCentre) {
 			rules = append(rules, standin.Rule{From: n.IP, To: to, CutOut: true, CutIn: true})
 		}
 	}
 	for _, n := range f.Nodes {
 		for _, u := range f.Upstreams {
-			cut(n, u.Name, u.centre)
+			cut(n, u.Name, u.dataCentre)
 		}
 		for _, m := range f.Nodes {
-			cut(n, m.Name, m.centre)
+			cut(n, m.Name, m.dataCentre)
 		}
 	}
 	return rules
 }
 
-// publish puts the template and its accounts in force through a node's admin API.
+// publish sends the template and its accounts to the first node with eiderctl.
 func (f *Fleet) publish() error {
-	if output, err := f.Control(0, "template", "publish", f.Deployment.source); err != nil {
+	if output, err := f.Control(0, "template", "publish", f.Deployment.templatePath); err != nil {
 		return errors.Wrap(err, output)
 	}
 	names := make([]string, 0, len(f.Deployment.Accounts))
@@ -383,7 +389,7 @@
 	return nil
 }
 
-// Close ends every process.
+// Close kills every process.
 func (f *Fleet) Close() {
 	for _, n := range f.Nodes {
 		n.Kill()
@@ -393,7 +399,7 @@
 			u.Kill()
 		}
 	}
-	for _, p := range []*Process{f.cutter, f.platform} {
+	for _, p := range []*Process{f.faultProxy, f.platform} {
 		if p != nil {
 			p.Kill()
 		}
--- a/bench/fleet/process.go
+++ b/bench/fleet/process.go
@@ -1,5 +1,5 @@
-// Package fleet runs a whole deployment as real processes on loopback: nodes,
-// stand-ins, and the cutter between them.
+// Package fleet runs a whole deployment as processes on loopback: nodes, simulated
+// upstreams, a simulated platform and the fault proxy between them.
 //
 // # Usage
 //
@@ -8,8 +8,8 @@
 //	defer f.Close()
 //	f.SetMode("certificados-1", standin.Mode{FailShare: 1})
 //
-// Each node has an IP number of its own in 127.0.0.0/8 and dials from it, so that
-// the cutter can tell links apart by who dials.
+// Each node has its own IP address in 127.0.0.0/8 and dials from it, so that the fault
+// proxy can distinguish links by their source.
 package fleet
 
 import (
@@ -27,18 +27,19 @@
 	"github.com/pkg/errors"
 )
 
-// Binaries are the programs of a deployment.
+// Binaries holds the paths of the programs that a deployment runs.
 type Binaries struct {
 	Node    string
-	Control string
+	Control string // eiderctl
 	Standin string
-	// Baseline is a node with another policy.
+	// Baseline is a node that runs a baseline policy.
 	Baseline string
-	// Passthrough is the smallest proxy, to compare costs with.
+	// Passthrough is a minimal proxy, for comparing the cost of a request.
 	Passthrough string
 }
 
-// Build compiles the programs into a folder. Run it from inside the workspace.
+// Build compiles the programs into a directory. The working directory must be inside
+// the Go workspace.
 func Build(dir string) (Binaries, error) {
 	b := Binaries{
 		Node:     filepath.Join(dir, "eiderfold"),
@@ -74,11 +75,11 @@
 
 const (
 	readyTimeout = 20 * time.Second
-	killAfter    = 40 * time.Second
+	stopTimeout  = 40 * time.Second
 )
 
-// start runs a program and reads its log; parse recognises the line that says it
-// is ready and returns its addresses.
+// start runs a program and copies its output to a log file. parse returns the
+// addresses from the line that reports readiness, and nil for any other line.
 func start(name, log, program string, arguments []string, parse func(line string) map[string]string) (*Process, error) {
 	p := &Process{name: name, log: log, command: exec.Command(program, arguments...), ready: make(chan map[string]string, 1), exited: make(chan struct{})}
 	out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -90,7 +91,7 @@
 		return nil, errors.Wrap(err, name)
 	}
 	p.command.Stdout, p.command.Stderr = writer, writer
-	// A test that is killed takes its processes with it.
+	// Kills the program if the test process dies.
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.command.Start(); err != nil {
 		return nil, errors.Wrap(err, name)
@@ -105,29 +106,29 @@
 }
 
 func (p *Process) read(from io.Reader, to io.WriteCloser, parse func(string) map[string]string) {
-	defer to.Close() //nolint:errcheck // A lost last line of a log is no matter.
+	defer to.Close() //nolint:errcheck // Losing the last line of a log is acceptable.
 	lines := bufio.NewScanner(from)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		_, _ = io.WriteString(to, lines.Text()+"\n")
-		if found := parse(lines.Text()); found != nil {
+		if addresses := parse(lines.Text()); addresses != nil {
 			select {
-			case p.ready <- found:
+			case p.ready <- addresses:
 			default:
 			}
 		}
 	}
 }
 
-// wait returns the addresses once the process is ready.
+// wait waits until the process is ready and returns its addresses.
 func (p *Process) wait(ctx context.Context) (map[string]string, error) {
 	timer := time.NewTimer(readyTimeout)
 	defer timer.Stop()
 	select {
-	case found := <-p.ready:
-		return found, nil
+	case addresses := <-p.ready:
+		return addresses, nil
 	case <-p.exited:
-		return nil, errors.Errorf("%s ended at once; see %s", p.name, p.log)
+		return nil, errors.Errorf("%s exited before it was ready; see %s", p.name, p.log)
 	case <-timer.C:
 		return nil, errors.Errorf("%s is not ready; see %s", p.name, p.log)
 	case <-ctx.Done():
@@ -142,11 +143,11 @@
 	if err != nil {
 		return nil, "", err
 	}
-	found, err := p.wait(ctx)
-	return p, found["address"], err
+	addresses, err := p.wait(ctx)
+	return p, addresses["address"], err
 }
 
-// StartProgram runs a program that need not say that it is ready.
+// StartProgram runs a program that does not report readiness.
 func StartProgram(name, dir, program string, arguments ...string) (*Process, error) {
 	return start(name, filepath.Join(dir, name+".log"), program, arguments, func(string) map[string]string { return nil })
 }
@@ -154,26 +155,27 @@
 // PID returns the process id.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Signal sends a signal.
+// Signal sends the process a signal.
 func (p *Process) Signal(s os.Signal) error { return errors.Wrap(p.command.Process.Signal(s), p.name) }
 
-// Kill ends the process at once, as a crash would.
+// Kill kills the process, as in a crash, and waits for its exit.
 func (p *Process) Kill() {
-	_ = p.command.Process.Kill() // It may have ended already.
+	_ = p.command.Process.Kill() // It may have exited already.
 	<-p.exited
 }
 
-// Stop ends the process by plan and waits for it.
+// Stop terminates the process gracefully and waits for its exit; after stopTimeout it
+// kills it.
 func (p *Process) Stop() {
 	_ = p.command.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.exited:
-	case <-time.After(killAfter):
+	case <-time.After(stopTimeout):
 		p.Kill()
 	}
 }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process has not exited.
 func (p *Process) Running() bool {
 	select {
 	case <-p.exited:
@@ -183,7 +185,7 @@
 	}
 }
 
-// parseListening reads the line of a stand-in.
+// parseListening parses the line with which a simulated server reports its address.
 func parseListening(line string) map[string]string {
 	if address, ok := strings.CutPrefix(line, "listening "); ok {
 		return map[string]string{"address": address}
@@ -191,7 +193,7 @@
 	return nil
 }
 
-// parseServing reads the log event of a node.
+// parseServing parses the log event with which a node reports its addresses.
 func parseServing(line string) map[string]string {
 	var event struct{ Msg, Callers, Admin, Peers string }
 	if json.Unmarshal([]byte(line), &event) != nil || event.Msg != "serving" {
--- a/bench/fleet/synthetic.go
+++ b/bench/fleet/synthetic.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Shape is the size of a made-up deployment.
+// Shape is the size of a synthetic deployment.
 type Shape struct {
 	Nodes     int
 	Upstreams int
@@ -19,7 +19,8 @@
 	Accounts  int
 }
 
-// Synthetic writes a deployment of one service in one data centre.
+// Synthetic writes a deployment of one service in one data centre to dir and reads it
+// back.
 func Synthetic(dir string, s Shape) (*Deployment, error) {
 	const name = "synthetic"
 	template := fmt.Sprintf(`template: synthetic
--- a/bench/fleet/usage.go
+++ b/bench/fleet/usage.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Usage reads from the kernel a process's processor time in seconds and its memory
-// in megabytes; zeros if there is no such process.
+// Usage returns a process's CPU time in seconds and its resident memory in mebibytes,
+// read from /proc; zeros if there is no such process.
 func Usage(pid int) (cpu, rss float64) {
 	const (
-		userField, systemField = 11, 12 // After the name's closing bracket.
+		userField, systemField = 11, 12 // Indexes after the closing bracket of the process name.
 		residentField          = 21
-		megabyte               = 1 << 20
-		clockTicks             = 100 // Of the kernel, a second.
+		mebibyte               = 1 << 20
+		clockTicks             = 100 // Per second, as the kernel reports to user space.
 	)
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
@@ -26,5 +26,5 @@
 	user, _ := strconv.ParseFloat(fields[userField], 64)
 	system, _ := strconv.ParseFloat(fields[systemField], 64)
 	pages, _ := strconv.ParseFloat(fields[residentField], 64)
-	return (user + system) / clockTicks, pages * float64(os.Getpagesize()) / megabyte
+	return (user + system) / clockTicks, pages * float64(os.Getpagesize()) / mebibyte
 }
