--- a/bench/e2e/faults_test.go
+++ b/bench/e2e/faults_test.go
@@ -21,26 +21,26 @@
 )
 
 const (
-	patience = 30 * time.Second
-	pace     = 50 * time.Millisecond
+	waitTimeout  = 30 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
-func births(n *fleet.Node) string { return "http://" + n.Callers() + "/oficina-01/births" }
+func birthsURL(n *fleet.Node) string { return "http://" + n.Callers() + "/oficina-01/births" }
 
 // sendUntilKnown repeats a keyed request until its outcome is known, as a caller
-// that is told "unknown" should.
+// that gets an unknown outcome should.
 func sendUntilKnown(t *testing.T, n *fleet.Node, key string) reply {
 	t.Helper()
 	var got reply
 	require.Eventually(t, func() bool {
-		got = ask(t, http.MethodPost, births(n), "mark-"+key, key, "newborn")
+		got = send(t, http.MethodPost, birthsURL(n), "mark-"+key, key, "newborn")
 		return got.result == "10" || got.result == "11"
-	}, patience, pace, "key %s", key)
+	}, waitTimeout, pollInterval, "key %s", key)
 	return got
 }
 
-// other returns a running node that is not the one given.
-func other(f *fleet.Fleet, not *fleet.Node) *fleet.Node {
+// otherNode returns a running node other than the given one.
+func otherNode(f *fleet.Fleet, not *fleet.Node) *fleet.Node {
 	for _, n := range f.Nodes {
 		if n != not && n.Running() {
 			return n
@@ -49,59 +49,61 @@
 	return nil
 }
 
-// TestKilledCoordinator kills the coordinator between a request and its repeat.
+// TestKilledCoordinator kills the coordinator between a request and its repeat; no
+// operation may run twice.
 func TestKilledCoordinator(t *testing.T) {
-	f := startFleet(t, small(t), fleet.Options{Linked: true})
-	dead := f.Coordinator()
-	require.NotNil(t, dead)
-	// One operation through the coordinator itself, whose memory goes with it, and
-	// one through another node.
-	through := other(f, dead)
-	require.Equal(t, "10", ask(t, http.MethodPost, births(dead), "m1", "at-coordinator", "newborn").result)
-	require.Equal(t, "10", ask(t, http.MethodPost, births(through), "m2", "at-other", "newborn").result)
-	dead.Kill()
-	require.NoError(t, f.Deregister(dead.Name))
-	assert.Equal(t, "11", sendUntilKnown(t, other(f, through), "at-other").result)
+	f := startFleet(t, threeNodes(t), fleet.Options{Linked: true})
+	killed := f.Coordinator()
+	require.NotNil(t, killed)
+	// One operation goes through the coordinator, whose memory is lost, and one
+	// through another node.
+	entry := otherNode(f, killed)
+	require.Equal(t, "10", send(t, http.MethodPost, birthsURL(killed), "m1", "at-coordinator", "newborn").result)
+	require.Equal(t, "10", send(t, http.MethodPost, birthsURL(entry), "m2", "at-other", "newborn").result)
+	killed.Kill()
+	require.NoError(t, f.Deregister(killed.Name))
+	assert.Equal(t, "11", sendUntilKnown(t, otherNode(f, entry), "at-other").result)
 	for _, n := range f.Nodes {
 		if !n.Running() {
 			continue
 		}
-		got := ask(t, http.MethodPost, births(n), "m3", "at-coordinator", "newborn")
+		got := send(t, http.MethodPost, birthsURL(n), "m3", "at-coordinator", "newborn")
 		assert.NotEqual(t, "10", got.result, "an operation of the killed coordinator ran again")
 	}
-	assert.Equal(t, "10", sendUntilKnown(t, through, "new").result)
+	assert.Equal(t, "10", sendUntilKnown(t, entry, "new").result)
 	for _, key := range []string{"at-coordinator", "at-other", "new"} {
-		assert.Equal(t, 1, starts(t, f, key), key)
+		assert.Equal(t, 1, countStarts(t, f, key), key)
 	}
 }
 
-// TestPausedCoordinator stops the coordinator's process for longer than any lease.
-// When it goes on it must neither grant nor eject by what it believed before.
+// TestPausedCoordinator pauses the coordinator's process for longer than any lease.
+// Once resumed, it must neither grant operations nor eject upstreams by its old state.
 func TestPausedCoordinator(t *testing.T) {
-	f := startFleet(t, small(t), fleet.Options{Linked: true})
+	f := startFleet(t, threeNodes(t), fleet.Options{Linked: true})
 	paused := f.Coordinator()
 	require.NotNil(t, paused)
-	through := other(f, paused)
-	require.Equal(t, "10", ask(t, http.MethodPost, births(through), "m1", "before", "newborn").result)
+	entry := otherNode(f, paused)
+	require.Equal(t, "10", send(t, http.MethodPost, birthsURL(entry), "m1", "before", "newborn").result)
 	require.NoError(t, paused.Signal(syscall.SIGSTOP))
 	require.Eventually(t, func() bool {
-		n := coordinatorAmong(f, paused)
+		n := coordinatorExcept(f, paused)
 		return n != nil && n != paused
-	}, patience, pace, "nobody stood in")
+	}, waitTimeout, pollInterval, "no other node became coordinator")
 	require.NoError(t, paused.Signal(syscall.SIGCONT))
-	require.Eventually(t, func() bool { return leaders(f) == 1 }, patience, pace)
+	require.Eventually(t, func() bool { return countLeaders(f) == 1 }, waitTimeout, pollInterval)
 	var sending sync.WaitGroup
 	for _, n := range f.Nodes {
 		sending.Go(func() { sendUntilKnown(t, n, "after") })
 		sending.Go(func() { assert.Equal(t, "11", sendUntilKnown(t, n, "before").result) })
 	}
 	sending.Wait()
-	assert.Equal(t, 1, starts(t, f, "before"))
-	assert.Equal(t, 1, starts(t, f, "after"))
+	assert.Equal(t, 1, countStarts(t, f, "before"))
+	assert.Equal(t, 1, countStarts(t, f, "after"))
 }
 
-// coordinatorAmong asks all nodes but a paused one, which would not answer.
-func coordinatorAmong(f *fleet.Fleet, paused *fleet.Node) *fleet.Node {
+// coordinatorExcept returns the first node that reports that it leads, without asking
+// the paused one, which would not respond.
+func coordinatorExcept(f *fleet.Fleet, paused *fleet.Node) *fleet.Node {
 	for _, n := range f.Nodes {
 		if n == paused {
 			continue
@@ -113,7 +115,8 @@
 	return nil
 }
 
-func leaders(f *fleet.Fleet) int {
+// countLeaders returns how many nodes report that they lead.
+func countLeaders(f *fleet.Fleet) int {
 	n := 0
 	for _, node := range f.Nodes {
 		if d, err := f.Dump(node); err == nil && d.Groups[f.Deployment.Name].Leading {
@@ -123,28 +126,29 @@
 	return n
 }
 
-// TestStoreOut lets the store be out while an upstream turns sick: requests flow,
-// operations run, the sick one is ejected, and a change is refused honestly.
-func TestStoreOut(t *testing.T) {
-	f := startFleet(t, small(t), fleet.Options{})
+// TestStoreOutage makes an upstream fail during a store outage: requests must succeed,
+// operations must run, the upstream must be ejected, and a configuration change must
+// be refused.
+func TestStoreOutage(t *testing.T) {
+	f := startFleet(t, threeNodes(t), fleet.Options{})
 	require.NoError(t, f.SetPlatform(standin.PlatformFaults{Out: true}))
 	require.NoError(t, f.SetMode("certificados-1", standin.Mode{FailShare: 1}))
-	sick := f.Nodes[0]
+	observer := f.Nodes[0]
 	require.Eventually(t, func() bool {
 		for i, n := range f.Nodes {
-			got := ask(t, http.MethodGet, "http://"+n.Callers()+"/oficina-01/births/118", fmt.Sprint("m", i), "", "")
+			got := send(t, http.MethodGet, "http://"+n.Callers()+"/oficina-01/births/118", fmt.Sprint("m", i), "", "")
 			assert.Equal(t, http.StatusOK, got.status, got.body)
 		}
-		return phaseOf(t, f, sick, "certificados", "certificados-1") == "out"
-	}, patience, time.Millisecond, "the sick upstream is not ejected")
-	assert.Equal(t, "10", ask(t, http.MethodPost, births(f.Nodes[1]), "m", "while-out", "newborn").result)
+		return phaseOf(t, f, observer, "certificados", "certificados-1") == "out"
+	}, waitTimeout, time.Millisecond, "the unhealthy upstream is not ejected")
+	assert.Equal(t, "10", send(t, http.MethodPost, birthsURL(f.Nodes[1]), "m", "while-out", "newborn").result)
 	output, err := f.Control(0, "account", "set", "montevideo", "oficina-50", "office=50")
 	assert.Equal(t, 7, exitCode(err), output)
 	require.NoError(t, f.SetPlatform(standin.PlatformFaults{}))
 	require.Eventually(t, func() bool {
 		output, err = f.Control(0, "account", "set", "montevideo", "oficina-50", "office=50", "--wait")
 		return err == nil
-	}, patience, pace, output)
+	}, waitTimeout, pollInterval, output)
 }
 
 func phaseOf(t *testing.T, f *fleet.Fleet, n *fleet.Node, service, upstream string) string {
@@ -167,9 +171,10 @@
 	return 0
 }
 
-// TestPublishWhoseAnswerIsLost lets writes take effect and their answers get lost.
-func TestPublishWhoseAnswerIsLost(t *testing.T) {
-	f := startFleet(t, small(t), fleet.Options{})
+// TestPublishWithLostResponse loses the store's responses to writes that take effect:
+// a change published twice with one publish id must take effect once.
+func TestPublishWithLostResponse(t *testing.T) {
+	f := startFleet(t, threeNodes(t), fleet.Options{})
 	before := sequenceOf(t, f, "oficina-01")
 	require.NoError(t, f.SetPlatform(standin.PlatformFaults{LoseWrites: true}))
 	output, err := f.Control(0, "account", "set", "montevideo", "oficina-01", "office=77", "--publish-id", "once")
@@ -177,7 +182,7 @@
 	output, err = f.Control(1, "account", "set", "montevideo", "oficina-01", "office=77", "--publish-id", "once")
 	require.NoError(t, err, output)
 	require.NoError(t, f.SetPlatform(standin.PlatformFaults{}))
-	assert.Equal(t, before+1, sequenceOf(t, f, "oficina-01"), "published other than once")
+	assert.Equal(t, before+1, sequenceOf(t, f, "oficina-01"), "not published exactly once")
 }
 
 // sequenceOf returns the sequence of an account's bucket in the store.
@@ -196,9 +201,10 @@
 	return sequence
 }
 
-// TestTwoOperators lets two publish from the same base at the same moment.
-func TestTwoOperators(t *testing.T) {
-	f := startFleet(t, small(t), fleet.Options{})
+// TestConcurrentPublish publishes twice at once from the same base; exactly one may
+// succeed.
+func TestConcurrentPublish(t *testing.T) {
+	f := startFleet(t, threeNodes(t), fleet.Options{})
 	codes := make([]int, 2)
 	var publishing sync.WaitGroup
 	for i := range codes {
@@ -211,13 +217,13 @@
 	assert.ElementsMatch(t, []int{0, 4}, codes)
 }
 
-// TestRollingStop stops and replaces every node in turn under load. A caller that
-// cannot connect goes to the next node; nothing that was sent may be cut.
+// TestRollingStop stops and restarts every node in turn under load. A caller that
+// cannot connect tries the next node; no request that was sent may fail.
 func TestRollingStop(t *testing.T) {
-	f := startFleet(t, small(t), fleet.Options{})
+	f := startFleet(t, threeNodes(t), fleet.Options{})
 	stop := make(chan struct{})
 	var mu sync.Mutex
-	var cut []string
+	var failures []string
 	sent := 0
 	var callers sync.WaitGroup
 	for c := range 6 {
@@ -233,7 +239,7 @@
 				mu.Lock()
 				sent++
 				if err != nil {
-					cut = append(cut, err.Error())
+					failures = append(failures, err.Error())
 				}
 				mu.Unlock()
 			}
@@ -243,15 +249,16 @@
 		require.NoError(t, f.Register("eiderfold-montevideo", n.Name, n.PeerAddress(), "sede-central", port.Leaving))
 		n.Stop()
 		require.NoError(t, f.Restart(t.Context(), n))
-		require.Eventually(t, func() bool { return ready(f, n) }, patience, pace)
+		require.Eventually(t, func() bool { return ready(f, n) }, waitTimeout, pollInterval)
 	}
 	close(stop)
 	callers.Wait()
-	assert.Empty(t, cut, "of %d requests", sent)
+	assert.Empty(t, failures, "of %d requests", sent)
 	assert.Greater(t, sent, 100)
 }
 
-// ready reports whether a restarted node serves and follows a coordinator.
+// ready reports whether a restarted node has its configuration, a lease and the
+// upstreams of certificados.
 func ready(f *fleet.Fleet, n *fleet.Node) bool {
 	d, err := f.Dump(n)
 	if err != nil || d.Accounts == 0 {
@@ -261,8 +268,8 @@
 	return g.LeaseLeft != "0s" && len(g.Services["certificados"].Upstreams) == 6
 }
 
-// roundTrip sends one request, to the next node if a node takes no connection or
-// says that it is not ready. Any other failure is one that the stop must not cause.
+// roundTrip sends one request, and tries the next node if a node refuses the
+// connection or responds that it is not ready. The stop must cause no other failure.
 func roundTrip(client *http.Client, f *fleet.Fleet, caller, i int) error {
 	var last error
 	for attempt := range 200 {
@@ -271,64 +278,65 @@
 		if err != nil {
 			return err
 		}
-		answer, err := client.Do(r)
+		resp, err := client.Do(r)
 		if err != nil {
-			if dial := (*net.OpError)(nil); errors.As(err, &dial) && dial.Op == "dial" {
+			if opErr := (*net.OpError)(nil); errors.As(err, &opErr) && opErr.Op == "dial" {
 				// No connection, so nothing was sent.
-				time.Sleep(pace / 5)
+				time.Sleep(pollInterval / 5)
 				last = err
 				continue
 			}
 			return err
 		}
-		_ = answer.Body.Close()
-		switch answer.StatusCode {
+		_ = resp.Body.Close()
+		switch resp.StatusCode {
 		case http.StatusOK:
 			return nil
 		case http.StatusServiceUnavailable:
-			// A restarted node that has no configuration yet says so.
-			last = errors.Errorf("%s: result %s", n.Name, answer.Header.Get("Eiderfold-Result"))
-			time.Sleep(pace / 5)
+			// A restarted node responds with this until it has its configuration.
+			last = errors.Errorf("%s: result %s", n.Name, resp.Header.Get("Eiderfold-Result"))
+			time.Sleep(pollInterval / 5)
 		default:
-			return errors.Errorf("status %d, result %s", answer.StatusCode, answer.Header.Get("Eiderfold-Result"))
+			return errors.Errorf("status %d, result %s", resp.StatusCode, resp.Header.Get("Eiderfold-Result"))
 		}
 	}
 	return last
 }
 
-// TestStartWhileStoreOut replaces a node while the platform is out: it gets its
+// TestStartDuringStoreOutage restarts a node during a platform outage: it must get its
 // configuration, its roster and its coordinator from its seeds.
-func TestStartWhileStoreOut(t *testing.T) {
-	f := startFleet(t, small(t), fleet.Options{})
+func TestStartDuringStoreOutage(t *testing.T) {
+	f := startFleet(t, threeNodes(t), fleet.Options{})
 	last := f.Nodes[2]
-	require.Equal(t, "10", ask(t, http.MethodPost, births(f.Nodes[0]), "m1", "before", "newborn").result)
+	require.Equal(t, "10", send(t, http.MethodPost, birthsURL(f.Nodes[0]), "m1", "before", "newborn").result)
 	require.NoError(t, f.SetPlatform(standin.PlatformFaults{Out: true}))
-	for f.Coordinator() == last { // With the platform out nobody could replace it.
+	for f.Coordinator() == last { // During the outage the coordinator could not be replaced.
 		last = f.Nodes[1]
 	}
 	last.Kill()
 	before, err := f.Dump(f.Coordinator())
 	require.NoError(t, err)
 	require.NoError(t, f.Restart(t.Context(), last))
-	require.Eventually(t, func() bool { return ready(f, last) }, patience, pace)
+	require.Eventually(t, func() bool { return ready(f, last) }, waitTimeout, pollInterval)
 	after, err := f.Dump(last)
 	require.NoError(t, err)
 	assert.Equal(t, before.Sequences, after.Sequences)
-	got := ask(t, http.MethodGet, "http://"+last.Callers()+"/oficina-01/births/118", "m", "", "")
+	got := send(t, http.MethodGet, "http://"+last.Callers()+"/oficina-01/births/118", "m", "", "")
 	assert.Equal(t, http.StatusOK, got.status, got.body)
-	// It may not have been heard by the coordinator yet, and says so; it must not run.
+	// The node may report an unknown outcome until the coordinator has received a
+	// message from it; the operation must not run again.
 	assert.Equal(t, "11", sendUntilKnown(t, last, "before").result)
-	assert.Equal(t, 1, starts(t, f, "before"))
+	assert.Equal(t, 1, countStarts(t, f, "before"))
 }
 
-// TestLeavingUpstream lets an upstream say itself that it is leaving, while the
-// platform's list says nothing.
+// TestLeavingUpstream makes an upstream report that it is leaving while the platform
+// still lists it as live: every node must take it out of rotation.
 func TestLeavingUpstream(t *testing.T) {
-	f := startFleet(t, small(t), fleet.Options{})
+	f := startFleet(t, threeNodes(t), fleet.Options{})
 	require.NoError(t, f.SetMode("certificados-2", standin.Mode{Leaving: true}))
 	require.Eventually(t, func() bool {
 		for i, n := range f.Nodes {
-			got := ask(t, http.MethodGet, "http://"+n.Callers()+"/oficina-01/births/118", fmt.Sprint("m", i), "", "")
+			got := send(t, http.MethodGet, "http://"+n.Callers()+"/oficina-01/births/118", fmt.Sprint("m", i), "", "")
 			assert.Equal(t, http.StatusOK, got.status, got.body)
 		}
 		for _, n := range f.Nodes {
@@ -337,5 +345,5 @@
 			}
 		}
 		return true
-	}, patience, time.Millisecond, "a leaving upstream is still in rotation")
+	}, waitTimeout, time.Millisecond, "a leaving upstream is still in rotation")
 }
--- a/bench/e2e/path_test.go
+++ b/bench/e2e/path_test.go
@@ -1,4 +1,4 @@
-// Package e2e drives whole deployments as real processes.
+// Package e2e tests whole deployments that run as separate processes.
 //
 // # Usage
 //
@@ -38,8 +38,8 @@
 	os.Exit(code)
 }
 
-// small is Montevideo with three nodes and its smaller service only.
-func small(t *testing.T) *fleet.Deployment {
+// threeNodes returns the Montevideo deployment with three nodes.
+func threeNodes(t *testing.T) *fleet.Deployment {
 	t.Helper()
 	d, err := fleet.ReadDeployment("../deployments/montevideo.yaml")
 	require.NoError(t, err)
@@ -52,20 +52,20 @@
 	o.Dir = t.TempDir()
 	f, err := fleet.Start(t.Context(), binaries, d, o)
 	if err != nil {
-		logs(t, o.Dir)
+		logTails(t, o.Dir)
 	}
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		f.Close()
 		if t.Failed() {
-			logs(t, o.Dir)
+			logTails(t, o.Dir)
 		}
 	})
 	return f
 }
 
-// logs shows the end of every process's log.
-func logs(t *testing.T, dir string) {
+// logTails logs the end of every node's log.
+func logTails(t *testing.T, dir string) {
 	const tail = 3000
 	files, _ := filepath.Glob(filepath.Join(dir, "node-*.log"))
 	for _, file := range files {
@@ -74,7 +74,7 @@
 	}
 }
 
-// reply is what a caller got.
+// reply is the response to a request, or the error in place of one.
 type reply struct {
 	status int
 	result string
@@ -82,9 +82,9 @@
 	err    error
 }
 
-// ask sends a request with a mark and checks that a good answer is whole and its
-// own.
-func ask(t *testing.T, method, url, mark, key, body string) reply {
+// send sends a request with a mark and checks that a successful response is complete
+// and belongs to this request.
+func send(t *testing.T, method, url, mark, key, body string) reply {
 	t.Helper()
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
 	require.NoError(t, err)
@@ -92,53 +92,55 @@
 	if key != "" {
 		r.Header.Set("Idempotency-Key", key)
 	}
-	answer, err := (&http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
+	resp, err := (&http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
 	if err != nil {
 		return reply{err: err}
 	}
-	defer answer.Body.Close() //nolint:errcheck // Only read from.
-	text, err := io.ReadAll(answer.Body)
+	defer resp.Body.Close() //nolint:errcheck // Only read from.
+	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return reply{err: err}
 	}
-	got := reply{status: answer.StatusCode, result: answer.Header.Get("Eiderfold-Result"), body: string(text)}
+	got := reply{status: resp.StatusCode, result: resp.Header.Get("Eiderfold-Result"), body: string(text)}
 	if got.result == "10" && got.status == http.StatusOK {
-		assert.True(t, intact(got.body), "answer is not whole: %q", got.body)
-		assert.True(t, strings.HasPrefix(got.body, mark+" "), "answer to another request: %q", got.body)
+		assert.True(t, intact(got.body), "response is not complete: %q", got.body)
+		assert.True(t, strings.HasPrefix(got.body, mark+" "), "response to another request: %q", got.body)
 	}
 	return got
 }
 
-// intact checks the checksum that an upstream puts at the end of an answer.
+// intact reports whether the checksum at the end of a response matches its body.
 func intact(body string) bool {
 	i := strings.LastIndexByte(body, ' ')
 	return i >= 0 && fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(body[:i]))) == body[i+1:]
 }
 
-// TestWholePath sends a lookup, a keyed order and its repeats through three nodes.
-func TestWholePath(t *testing.T) {
-	f := startFleet(t, small(t), fleet.Options{Linked: true})
+// TestLookupAndKeyedOrder sends a lookup through every node, and an order with an
+// idempotency key and its repeats: repeats through any node must get the first
+// response, and a different body must be refused.
+func TestLookupAndKeyedOrder(t *testing.T) {
+	f := startFleet(t, threeNodes(t), fleet.Options{Linked: true})
 	for i, n := range f.Nodes {
-		got := ask(t, http.MethodGet, "http://"+n.Callers()+"/oficina-01/births/118", fmt.Sprintf("look-%d", i), "", "")
+		got := send(t, http.MethodGet, "http://"+n.Callers()+"/oficina-01/births/118", fmt.Sprintf("look-%d", i), "", "")
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusOK, got.status, got.body)
 	}
-	first := ask(t, http.MethodPost, "http://"+f.Nodes[0].Callers()+"/oficina-01/births", "mark-1", "key-1", "newborn")
+	first := send(t, http.MethodPost, "http://"+f.Nodes[0].Callers()+"/oficina-01/births", "mark-1", "key-1", "newborn")
 	require.NoError(t, first.err)
 	assert.Equal(t, "10", first.result, first.body)
 	for _, n := range f.Nodes {
-		again := ask(t, http.MethodPost, "http://"+n.Callers()+"/oficina-01/births", "mark-2", "key-1", "newborn")
+		again := send(t, http.MethodPost, "http://"+n.Callers()+"/oficina-01/births", "mark-2", "key-1", "newborn")
 		require.NoError(t, again.err)
 		assert.Equal(t, "11", again.result, again.body)
 		assert.Equal(t, first.body, again.body)
-		other := ask(t, http.MethodPost, "http://"+n.Callers()+"/oficina-01/births", "mark-3", "key-1", "somebody else")
+		other := send(t, http.MethodPost, "http://"+n.Callers()+"/oficina-01/births", "mark-3", "key-1", "somebody else")
 		assert.Equal(t, "25", other.result, other.body)
 	}
-	assert.Equal(t, 1, starts(t, f, "key-1"))
+	assert.Equal(t, 1, countStarts(t, f, "key-1"))
 }
 
-// starts counts how often work with a key was started on any upstream.
-func starts(t *testing.T, f *fleet.Fleet, key string) int {
+// countStarts returns how often the upstreams started work with a key.
+func countStarts(t *testing.T, f *fleet.Fleet, key string) int {
 	t.Helper()
 	n := 0
 	for _, u := range f.Upstreams {
@@ -154,14 +156,14 @@
 }
 
 // TestConfigurationReachesEveryNode publishes through one node and waits until all
-// say that it is in force; what is refused changes nothing.
+// nodes report the change in force; invalid and conflicting changes must be refused.
 func TestConfigurationReachesEveryNode(t *testing.T) {
-	f := startFleet(t, small(t), fleet.Options{})
+	f := startFleet(t, threeNodes(t), fleet.Options{})
 	output, err := f.Control(1, "account", "set", "montevideo", "oficina-99", "office=99", "--wait")
 	require.NoError(t, err, output)
 	assert.Contains(t, output, "in force on 3 of 3 nodes")
 	for _, n := range f.Nodes {
-		got := ask(t, http.MethodGet, "http://"+n.Callers()+"/oficina-99/births/1", "m", "", "")
+		got := send(t, http.MethodGet, "http://"+n.Callers()+"/oficina-99/births/1", "m", "", "")
 		assert.Equal(t, http.StatusOK, got.status, got.body)
 	}
 	output, err = f.Control(1, "account", "set", "montevideo", "oficina-99", "lookup_timeout=1h")
