--- a/bench/passthrough/passthrough.go
+++ b/bench/passthrough/passthrough.go
@@ -1,5 +1,5 @@
-// Package passthrough is the smallest proxy that net/http allows: what a node's
-// cost for a request is compared with.
+// Package passthrough is a minimal proxy on net/http, with which the cost of a request
+// through a node is compared.
 //
 // # Usage
 //
@@ -18,11 +18,11 @@
 	transport *http.Transport
 }
 
-const connections = 100
+const maxIdleConns = 100
 
 // New returns a handler that forwards to an IP:port.
 func New(address string) *Handler {
-	return &Handler{address: address, transport: &http.Transport{MaxIdleConnsPerHost: connections, DisableCompression: true}}
+	return &Handler{address: address, transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}}
 }
 
 // ServeHTTP implements http.Handler.
@@ -30,15 +30,15 @@
 	out := r.Clone(r.Context())
 	out.RequestURI = ""
 	out.URL.Scheme, out.URL.Host = "http", h.address
-	answer, err := h.transport.RoundTrip(out)
+	resp, err := h.transport.RoundTrip(out)
 	if err != nil {
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
-	defer answer.Body.Close() //nolint:errcheck // Only read from.
-	maps.Copy(w.Header(), answer.Header)
-	w.WriteHeader(answer.StatusCode)
-	if _, err := io.Copy(w, answer.Body); err != nil {
+	defer resp.Body.Close() //nolint:errcheck // Only read from.
+	maps.Copy(w.Header(), resp.Header)
+	w.WriteHeader(resp.StatusCode)
+	if _, err := io.Copy(w, resp.Body); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
