--- a/proxy/doc.go
+++ b/proxy/doc.go
@@ -1,15 +1,16 @@
-// Package proxy is the path of a request through a node: find the client account
-// and the route, choose an upstream, send, retry or hedge where that is allowed,
-// and give the caller the whole answer or a numbered result.
+// Package proxy handles callers' requests: it finds the client account and the
+// route, chooses an upstream, sends the request, retries or hedges it where the
+// route allows that, and returns the complete answer or a numbered result.
 //
 // # Usage
 //
 //	h := proxy.NewHandler(holder, directory, operations, proxy.WithLimits(limits))
 //	http.ListenAndServe("127.0.0.1:8080", h)
 //
-// The path of a request takes no lock that all requests share. It reads the
-// configuration and each service's rotation through atomic pointers, and counts
-// what it sees in atomics of the upstream, which package node drains as evidence.
+// Apart from the short critical section of error attribution, the request path
+// takes no lock that all requests share. It reads the configuration and each
+// service's rotation through atomic pointers, and counts outcomes in per-upstream
+// atomics, which package node drains as evidence.
 package proxy
 
 import (
@@ -22,23 +23,23 @@
 
 // Directory finds the balancer of a service.
 type Directory interface {
-	// Service returns nil while the node has not set the service up.
+	// Service returns nil until the node has set up the service.
 	Service(template, service string) *Service
-	// Complete reports whether the node has had its whole configuration since it
-	// started. Before that an unknown account may only be one that has not come yet.
+	// Complete reports whether the node has loaded its whole configuration since it
+	// started. Until then an unknown account may just not have been loaded yet.
 	Complete() bool
 }
 
-// Operations keeps keyed operations from running twice.
+// Operations prevents keyed operations from running twice.
 type Operations interface {
-	// Begin claims an operation. It returns a running operation, or the recorded
-	// answer of an earlier run, or why there is neither. born is when the key was
-	// made, or zero if it does not tell.
-	Begin(ctx context.Context, template string, key core.Key, body uint64, born time.Time) (Operation, *core.Recorded, *result.Error)
+	// Begin claims an operation. It returns the claimed operation, the recorded
+	// answer of an earlier run, or an error. created is the time at which the key
+	// was created, or zero if the key does not contain it.
+	Begin(ctx context.Context, template string, key core.Key, body uint64, created time.Time) (Operation, *core.Recorded, *result.Error)
 }
 
-// Operation is a claimed operation that this node alone may start.
+// Operation is a claimed operation, which only this node may start.
 type Operation interface {
-	// Finish records how it ended. Stage is NotStarted, Done or Uncertain.
+	// Finish records the operation's outcome. Stage is NotStarted, Done or Uncertain.
 	Finish(stage core.Stage, answer *core.Recorded)
 }
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -24,177 +24,179 @@
 const (
 	// KeyHeader names a caller's operation.
 	KeyHeader = "Idempotency-Key"
-	// TimeoutHeader is how long the caller will wait, such as 800ms.
+	// TimeoutHeader is the caller's timeout, such as 800ms.
 	TimeoutHeader = "Eiderfold-Timeout"
-	// DeadlineHeader tells an upstream until when an answer is of use, in Unix
-	// milliseconds. It must not start the work after that.
+	// DeadlineHeader is the request's deadline in Unix milliseconds. An upstream
+	// must not start the work after it.
 	DeadlineHeader = "Eiderfold-Deadline"
-	// AccountHeader tells an upstream the client account.
+	// AccountHeader names the client account to the upstream.
 	AccountHeader = "Eiderfold-Account"
-	// StateHeader is "leaving" on an upstream's refusal when it is on its way out.
+	// StateHeader is "leaving" when an upstream refuses a request because it is
+	// shutting down.
 	StateHeader = "Upstream-State"
-	// NodeHeader tells which node answered, for finding a fault.
+	// NodeHeader names the node that answered, for debugging.
 	NodeHeader = "Eiderfold-Node"
 
 	stateLeaving = "leaving"
-	// prefixBytes of an answer are read before the caller gets its head, so that
-	// a short answer that breaks off can still become a retry or an honest code.
+	// prefixBytes of an answer are read before its header is sent to the caller, so
+	// that a short answer that breaks off can still be retried or get a result code.
 	prefixBytes = 32 << 10
 )
 
-// call is one request on its way through the node.
+// call holds the state of one caller's request.
 type call struct {
 	template string
 	account  *config.Account
 	route    *config.Route
 	service  *Service
-	usual    *core.Usual
+	latency  *core.Usual
 	request  *http.Request
-	path     string // Without the account.
-	body     []byte // Read whole, if it was short enough.
-	stream   io.Reader
+	path     string    // Without the account segment.
+	body     []byte    // The complete body, unless stream is set.
+	stream   io.Reader // A body too large to buffer.
 	deadline time.Time
 }
 
 // rewindable reports whether the body can be sent again.
 func (c *call) rewindable() bool { return c.stream == nil }
 
-// answer is an upstream's answer whose first part has been read.
+// answer is an upstream's response, of which a prefix has been read.
 type answer struct {
 	response *http.Response
 	prefix   []byte
-	whole    bool // prefix is all of the body.
+	complete bool // prefix is the complete body.
 	cancel   context.CancelFunc
 }
 
 func (a *answer) close() {
-	_ = a.response.Body.Close() // Read-only; nothing is lost by an error.
+	_ = a.response.Body.Close() // Only read from.
 	a.cancel()
 }
 
-// reason is why an attempt brought no answer.
+// reason is why an attempt returned no answer.
 type reason int
 
 const (
-	notSent  reason = iota // Proof that the upstream got nothing.
-	shed                   // The upstream refused it by contract.
-	broken                 // It was sent, and what became of it is not known.
-	late                   // The deadline passed after it was sent.
-	deserted               // The caller went away.
+	notSent     reason = iota // The upstream certainly received nothing.
+	shed                      // The upstream refused it without running it.
+	unconfirmed               // It may have been sent; the connection broke.
+	timedOut                  // It may have been sent; the deadline passed.
+	callerGone                // The caller disconnected.
 )
 
 // failure is an attempt without an answer.
 type failure struct {
-	reason reason
-	detail string
-	pause  time.Duration // With shed: when to come back.
+	reason     reason
+	detail     string
+	retryAfter time.Duration // Set with reason shed.
 }
 
-// proven reports whether the operation is known not to have run.
-func (f *failure) proven() bool { return f.reason == notSent || f.reason == shed }
+// notRun reports whether the operation is known not to have run.
+func (f *failure) notRun() bool { return f.reason == notSent || f.reason == shed }
 
-// result turns the failure into what the caller is told.
+// result returns the result to send to the caller.
 func (f *failure) result() *result.Error {
 	switch f.reason {
 	case notSent:
-		return result.New(result.ConnectFailed, f.detail).WithRetryAfter(leastRetry)
+		return result.New(result.ConnectFailed, f.detail).WithRetryAfter(minRetryAfter)
 	case shed:
-		return result.New(result.UpstreamShed, f.detail).WithRetryAfter(max(f.pause, leastRetry))
-	case late:
+		return result.New(result.UpstreamShed, f.detail).WithRetryAfter(max(f.retryAfter, minRetryAfter))
+	case timedOut:
 		return result.New(result.AnswerLate, f.detail)
 	default:
 		return result.New(result.OutcomeUnknown, f.detail)
 	}
 }
 
-// attempt is one sending of a call to an upstream that has been taken.
+// attempt sends a call once, to an upstream of which it holds a slot.
 type attempt struct {
 	call      *call
 	upstream  *Upstream
-	single    bool // On a connection of its own.
+	dedicated bool // Uses a connection of its own.
 	started   time.Time
-	flight    *flight
+	inFlight  *inFlightRequest
 	cancel    context.CancelFunc
-	connected atomic.Bool // Only kept for a single one.
+	connected atomic.Bool // Only set if dedicated.
 }
 
-// exchange sends one attempt, and gives the upstream's slot back when the answer
-// has ended.
-func (h *Handler) exchange(ctx context.Context, c *call, u *Upstream, single bool) (*answer, *failure) {
-	t := &attempt{call: c, upstream: u, single: single, started: time.Now()}
+// exchange makes one attempt. The upstream's slot is released at the end of the
+// answer.
+func (h *Handler) exchange(ctx context.Context, c *call, u *Upstream, dedicated bool) (*answer, *failure) {
+	t := &attempt{call: c, upstream: u, dedicated: dedicated, started: time.Now()}
 	ctx, t.cancel = context.WithDeadline(ctx, c.deadline)
-	t.flight = u.depart(t.started, c.usual.Cut(), c.usual.Stall())
+	t.inFlight = u.track(t.started, c.latency.Cut(), c.latency.Stall())
 	response, err := t.send(ctx)
 	if err != nil {
 		return nil, t.fail(c.classify(err))
 	}
 	if refused := refusal(u, response); refused != nil {
-		_ = response.Body.Close() // What a refusal says is not passed on.
+		_ = response.Body.Close() // A refusal's body is not relayed.
 		return nil, t.fail(refused)
 	}
 	a := &answer{response: response, cancel: t.cancel}
 	if failed := a.readPrefix(c); failed != nil {
-		_ = response.Body.Close() // It broke off.
+		_ = response.Body.Close() // The body broke off.
 		return nil, t.fail(failed)
 	}
 	now := time.Now()
-	h.judge(c, u, t.flight, response.StatusCode, now)
-	if a.whole {
-		c.service.done(u, now.Sub(t.started))
+	h.recordStatus(c, u, t.inFlight, response.StatusCode, now)
+	if a.complete {
+		c.service.releaseSlot(u, now.Sub(t.started))
 		return a, nil
 	}
-	a.cancel = t.end
+	a.cancel = t.release
 	return a, nil
 }
 
-// send makes the round trip. A single one notes whether it had a connection.
+// send makes the round trip. With a dedicated connection it records whether the
+// connection was established.
 func (t *attempt) send(ctx context.Context) (*http.Response, error) {
-	if !t.single {
+	if !t.dedicated {
 		return t.upstream.shared.RoundTrip(t.call.outgoing(ctx, t.upstream, false))
 	}
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { t.connected.Store(true) }}
 	ctx = httptrace.WithClientTrace(ctx, trace)
-	return t.upstream.single.RoundTrip(t.call.outgoing(ctx, t.upstream, true))
+	return t.upstream.dedicated.RoundTrip(t.call.outgoing(ctx, t.upstream, true))
 }
 
-// fail ends an attempt without an answer.
+// fail finishes an attempt without an answer.
 func (t *attempt) fail(f *failure) *failure {
-	t.upstream.land(t.flight, f.evidence(), time.Now())
-	if t.single && !t.connected.Load() {
-		// Whatever went wrong, there was never a connection to send it on.
+	t.upstream.finish(t.inFlight, f.evidence(), time.Now())
+	if t.dedicated && !t.connected.Load() {
+		// Without a connection nothing was sent, whatever the error.
 		f.reason = notSent
 	}
-	t.end()
+	t.release()
 	return f
 }
 
-// end gives the slot back.
-func (t *attempt) end() {
+// release cancels the attempt's context and releases the slot.
+func (t *attempt) release() {
 	t.cancel()
-	t.call.service.done(t.upstream, time.Since(t.started))
+	t.call.service.releaseSlot(t.upstream, time.Since(t.started))
 }
 
-// judge decides what an answer's status says of the upstream.
-func (h *Handler) judge(c *call, u *Upstream, f *flight, status int, now time.Time) {
+// recordStatus records an answer's status as evidence about the upstream.
+func (h *Handler) recordStatus(c *call, u *Upstream, f *inFlightRequest, status int, now time.Time) {
 	if status < http.StatusInternalServerError {
-		h.blame.cleared(c.account)
-		u.land(f, good, now)
-		if f.counted.Load() != countedFailed && !h.suspects(u) {
-			c.usual.Add(now.Sub(f.started))
+		h.attributor.recordSuccess(c.account)
+		u.finish(f, good, now)
+		if f.counted.Load() != countedFailed && !h.isSuspect(u) {
+			c.latency.Add(now.Sub(f.started))
 		}
 		return
 	}
-	if h.blame.callers(c.account, u, now) {
-		u.land(f, noEvidence, now)
+	if h.attributor.recordError(c.account, u, now) {
+		u.finish(f, noEvidence, now)
 		return
 	}
-	u.land(f, bad, now)
+	u.finish(f, bad, now)
 }
 
-// outgoing builds the request to the upstream. Its body never lets the transport
-// rewind it: net/http sends a request with an Idempotency-Key again by itself
-// when a kept connection breaks, if it can rewind the body or there is none.
-func (c *call) outgoing(ctx context.Context, u *Upstream, single bool) *http.Request {
+// outgoing builds the request to the upstream. Its body cannot be rewound by the
+// transport: net/http itself resends a request with an Idempotency-Key when a
+// reused connection breaks, if the body is rewindable or empty.
+func (c *call) outgoing(ctx context.Context, u *Upstream, dedicated bool) *http.Request {
 	out := (&http.Request{
 		Method:     c.request.Method,
 		URL:        &url.URL{Scheme: "http", Host: u.address, Path: c.path, RawQuery: c.request.URL.RawQuery},
@@ -218,39 +220,41 @@
 	case len(c.body) > 0:
 		out.Body = io.NopCloser(bytes.NewReader(c.body))
 		out.ContentLength = int64(len(c.body))
-	case single:
+	case dedicated:
 		out.Body = noRewind{}
 	}
 	return out
 }
 
-// noRewind is an empty body that the transport does not know to be empty.
+// noRewind is an empty body that the transport cannot recognize as empty.
 type noRewind struct{}
 
 func (noRewind) Read([]byte) (int, error) { return 0, io.EOF }
 func (noRewind) Close() error             { return nil }
 
-// refusal recognises an upstream that sheds or leaves: 503 or 429 with
-// Retry-After, which by contract says that the work was not started.
+// refusal returns a failure if the upstream sheds load or is leaving, and nil
+// otherwise. It sheds load with 503 or 429 and Retry-After, which by contract
+// means that the work was not started.
 func refusal(u *Upstream, r *http.Response) *failure {
 	if r.StatusCode != http.StatusServiceUnavailable && r.StatusCode != http.StatusTooManyRequests {
 		return nil
 	}
 	if r.Header.Get(StateHeader) == stateLeaving {
-		u.refusing.Store(true)
+		u.leaving.Store(true)
 		return &failure{reason: shed, detail: u.name + " is leaving"}
 	}
 	seconds, err := strconv.Atoi(r.Header.Get("Retry-After"))
 	if err != nil {
 		return nil
 	}
-	// The pause is ours to choose: Retry-After speaks in whole seconds, and an
-	// upstream of a few slots is free again much sooner.
-	u.sheds.Store(time.Now().Add(shedPause).UnixNano())
-	return &failure{reason: shed, detail: u.name + " sheds", pause: time.Duration(seconds) * time.Second}
+	// Retry-After has a resolution of one second, but an upstream with few slots
+	// has a free one again much sooner.
+	u.shedUntil.Store(time.Now().Add(shedPause).UnixNano())
+	return &failure{reason: shed, detail: u.name + " sheds", retryAfter: time.Duration(seconds) * time.Second}
 }
 
-// readPrefix reads the first part of the body, and with a short answer all.
+// readPrefix reads up to prefixBytes of the body, unless its declared length is
+// larger.
 func (a *answer) readPrefix(c *call) *failure {
 	if a.response.ContentLength > prefixBytes {
 		return nil
@@ -261,36 +265,36 @@
 		return c.classify(err)
 	}
 	if a.response.ContentLength >= 0 {
-		a.whole = int64(len(text)) == a.response.ContentLength || c.request.Method == http.MethodHead
+		a.complete = int64(len(text)) == a.response.ContentLength || c.request.Method == http.MethodHead
 		return nil
 	}
-	a.whole = len(text) < prefixBytes
+	a.complete = len(text) < prefixBytes
 	return nil
 }
 
-// classify tells from an error how far an attempt came.
+// classify derives from an error whether the attempt was sent.
 func (c *call) classify(err error) *failure {
 	var connect *connectError
 	switch {
 	case errors.As(err, &connect):
 		if c.request.Context().Err() != nil {
-			return &failure{reason: deserted, detail: "the caller went away"}
+			return &failure{reason: callerGone, detail: "the caller went away"}
 		}
 		return &failure{reason: notSent, detail: err.Error()}
 	case c.request.Context().Err() != nil:
-		return &failure{reason: deserted, detail: "the caller went away"}
+		return &failure{reason: callerGone, detail: "the caller went away"}
 	case errors.Is(err, context.DeadlineExceeded) || !time.Now().Before(c.deadline):
-		return &failure{reason: late, detail: "no answer within the deadline"}
+		return &failure{reason: timedOut, detail: "no answer within the deadline"}
 	default:
-		return &failure{reason: broken, detail: err.Error()}
+		return &failure{reason: unconfirmed, detail: err.Error()}
 	}
 }
 
-// evidence is what a failure says of the upstream. A passed deadline says nothing
-// by itself: it may have been too short, and Watch has counted what was late.
+// evidence returns what a failure implies about the upstream. A missed deadline
+// alone is no evidence: it may have been too short, and Watch counts slow requests.
 func (f *failure) evidence() outcome {
 	switch f.reason {
-	case notSent, broken:
+	case notSent, unconfirmed:
 		return bad
 	default:
 		return noEvidence
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -17,42 +17,43 @@
 	"eiderfold/result"
 )
 
-// Limits bound what a caller may ask of a node.
+// Limits bounds the size of callers' requests.
 type Limits struct {
-	Body      int64 // Bytes of a request's body.
-	KeyedBody int64 // Bytes of a keyed operation's body, which is read whole.
+	Body      int64 // Bytes of a request body.
+	KeyedBody int64 // Bytes of a keyed operation's body, which is buffered.
 }
 
-// Handler serves callers. It is safe for several goroutines.
+// Handler serves callers' requests. It is safe for concurrent use.
 type Handler struct {
 	holder     *config.Holder
 	directory  Directory
 	operations Operations
 	node       string
 	limits     Limits
-	blame      *blame
-	usual      sync.Map // *core.Usual by name of template, service and route.
+	attributor *attributor
+	latencies  sync.Map // *core.Usual by routeKey.
 	stopping   atomic.Bool
-	suspects   func(*Upstream) bool
+	isSuspect  func(*Upstream) bool
 	results    *expvar.Map
 }
 
-// Option changes a Handler at its making.
+// Option configures a new Handler.
 type Option func(*Handler)
 
-// WithLimits sets the limits towards callers.
+// WithLimits sets the limits on callers' requests.
 func WithLimits(l Limits) Option { return func(h *Handler) { h.limits = l } }
 
-// WithNode sets the name shown in answers.
+// WithNode sets the node name sent in NodeHeader.
 func WithNode(name string) Option { return func(h *Handler) { h.node = name } }
 
-// WithSuspects sets what tells whose answer times must not teach what is usual.
-func WithSuspects(f func(*Upstream) bool) Option { return func(h *Handler) { h.suspects = f } }
+// WithSuspects sets a function that reports whether an upstream is suspected of
+// being unhealthy. Its answer times are then left out of the latency percentile.
+func WithSuspects(f func(*Upstream) bool) Option { return func(h *Handler) { h.isSuspect = f } }
 
 const (
-	standardBody      = 16 << 20
-	standardKeyedBody = 1 << 20
-	rewindBytes       = 64 << 10 // A retryable body up to this is kept for a retry.
+	defaultBodyBytes      = 16 << 20
+	defaultKeyedBodyBytes = 1 << 20
+	maxRewindBytes        = 64 << 10 // Larger bodies without a key are streamed and cannot be sent again.
 )
 
 // NewHandler returns a handler over the configuration in force.
@@ -61,9 +62,9 @@
 		holder:     holder,
 		directory:  d,
 		operations: o,
-		limits:     Limits{Body: standardBody, KeyedBody: standardKeyedBody},
-		blame:      newBlame(),
-		suspects:   func(*Upstream) bool { return false },
+		limits:     Limits{Body: defaultBodyBytes, KeyedBody: defaultKeyedBodyBytes},
+		attributor: newAttributor(),
+		isSuspect:  func(*Upstream) bool { return false },
 		results:    new(expvar.Map).Init(),
 	}
 	for _, option := range options {
@@ -72,11 +73,11 @@
 	return h
 }
 
-// Results returns how often each result was given, by its number.
+// Results returns the count of each result, by its number.
 func (h *Handler) Results() expvar.Var { return h.results }
 
-// Stop makes every answer close its connection, so that callers turn to other
-// nodes before this one goes.
+// Stop makes every answer close its connection, so that callers move to other
+// nodes before this one stops.
 func (h *Handler) Stop() { h.stopping.Store(true) }
 
 // ServeHTTP implements http.Handler.
@@ -96,7 +97,7 @@
 		h.refuse(w, refused)
 		return
 	}
-	c.service.earn()
+	c.service.addRetryTokens()
 	if c.route.Operation() == config.Retryable {
 		h.serveRetryable(w, c)
 		return
@@ -104,7 +105,7 @@
 	h.serveOnce(w, c)
 }
 
-// admit finds the account, the route and the deadline.
+// admit resolves the account, route, service and deadline of a request.
 func (h *Handler) admit(r *http.Request) (*call, *result.Error) {
 	now := time.Now()
 	name, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
@@ -112,7 +113,7 @@
 	template, account, route := snapshot.Find(name, r.Method, "/"+rest)
 	switch {
 	case account == nil && (len(snapshot.Sequences()) == 0 || !h.directory.Complete()):
-		return nil, result.New(result.NoConfiguration, "nothing is in force on this node yet").WithRetryAfter(leastRetry)
+		return nil, result.New(result.NoConfiguration, "nothing is in force on this node yet").WithRetryAfter(minRetryAfter)
 	case account == nil:
 		return nil, result.New(result.NoAccount, "no account "+name)
 	case route == nil:
@@ -120,7 +121,7 @@
 	}
 	service := h.directory.Service(template.Name(), route.Service().Name())
 	if service == nil {
-		return nil, result.New(result.NoConfiguration, "the service is being set up").WithRetryAfter(leastRetry)
+		return nil, result.New(result.NoConfiguration, "the service is being set up").WithRetryAfter(minRetryAfter)
 	}
 	timeout := account.Timeout(route)
 	if text := r.Header.Get(TimeoutHeader); text != "" {
@@ -135,27 +136,28 @@
 		account:  account,
 		route:    route,
 		service:  service,
-		usual:    h.usualOf(template, route),
+		latency:  h.latencyOf(template, route),
 		request:  r,
 		path:     "/" + rest,
 		deadline: now.Add(timeout),
 	}, nil
 }
 
-// usualOf outlives a new version of the template, whose routes are new objects.
-func (h *Handler) usualOf(t *config.Template, r *config.Route) *core.Usual {
+// latencyOf returns the latency percentile of a route. It is keyed by name, because
+// a new version of the template has new route objects.
+func (h *Handler) latencyOf(t *config.Template, r *config.Route) *core.Usual {
 	key := routeKey{t.Name(), r.Service().Name(), r.Name()}
-	if u, ok := h.usual.Load(key); ok {
+	if u, ok := h.latencies.Load(key); ok {
 		return u.(*core.Usual)
 	}
-	u, _ := h.usual.LoadOrStore(key, &core.Usual{})
+	u, _ := h.latencies.LoadOrStore(key, &core.Usual{})
 	return u.(*core.Usual)
 }
 
 type routeKey struct{ template, service, route string }
 
-// readBody reads what must be whole before anything is sent: the body of a keyed
-// operation, and one short enough to be sent again.
+// readBody buffers the body of a keyed operation, and any other body that is short
+// enough to be sent again. Bodies with a larger declared length are streamed.
 func (h *Handler) readBody(w http.ResponseWriter, c *call) *result.Error {
 	r := c.request
 	if r.Body == nil || r.Body == http.NoBody {
@@ -170,11 +172,11 @@
 		return result.New(result.BodyTooLarge, "the body is over the limit")
 	}
 	body := http.MaxBytesReader(w, r.Body, limit)
-	if r.ContentLength > rewindBytes && limit != h.limits.KeyedBody {
+	if r.ContentLength > maxRewindBytes && limit != h.limits.KeyedBody {
 		c.stream = body
 		return nil
 	}
-	// A recorder in a test has no connection to set a deadline on; a real one has.
+	// The error is ignored: only a test's recorder does not support deadlines.
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(c.deadline)
 	text, err := io.ReadAll(body)
--- a/proxy/once.go
+++ b/proxy/once.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	keptAnswer = 64 << 10 // Answers up to this are kept for repeats.
-	maxKey     = 256
+	keptAnswer  = 64 << 10 // Bytes of an answer that is kept for repeats.
+	maxKeyBytes = 256
 )
 
-// serveOnce serves an at-most-once route. Without a key each request is an
-// operation of its own, and nothing has to be agreed with other nodes.
+// serveOnce serves an at-most-once route. Without a key each request is a separate
+// operation, which needs no coordination with other nodes.
 func (h *Handler) serveOnce(w http.ResponseWriter, c *call) {
 	name := c.request.Header.Get(KeyHeader)
 	if name == "" {
-		end := h.sendOnce(c.request.Context(), c)
-		h.tell(w, end)
+		res := h.sendOnce(c.request.Context(), c)
+		h.writeResult(w, res)
 		return
 	}
-	if len(name) > maxKey {
+	if len(name) > maxKeyBytes {
 		h.refuse(w, result.New(result.BadRequest, KeyHeader+" is too long"))
 		return
 	}
 	ctx, cancel := context.WithDeadline(c.request.Context(), c.deadline)
 	defer cancel()
 	key := operationKey(c.route.Service().Name(), c.account.Name(), name)
-	operation, recorded, refused := h.operations.Begin(ctx, c.template, key, bodyHash(c), born(name))
+	operation, recorded, refused := h.operations.Begin(ctx, c.template, key, bodyHash(c), keyTime(name))
 	switch {
 	case refused != nil:
 		h.refuse(w, refused)
@@ -46,81 +46,84 @@
 	}
 }
 
-// runKeyed runs a claimed operation to its end even when the caller goes away,
-// because its answer is what a repeat of the key will get.
+// runKeyed runs a claimed operation to its end even if the caller disconnects,
+// because a repeat of the key gets the recorded answer.
 func (h *Handler) runKeyed(w http.ResponseWriter, c *call, operation Operation) {
 	detached := c.detach()
-	end := h.sendOnce(detached.request.Context(), detached)
-	if end.answer == nil {
-		operation.Finish(end.stage(), nil)
-		h.tell(w, end)
+	res := h.sendOnce(detached.request.Context(), detached)
+	if res.answer == nil {
+		operation.Finish(res.stage(), nil)
+		h.writeResult(w, res)
 		return
 	}
-	recorded, whole := record(end.answer)
-	if !whole {
+	recorded, complete := record(res.answer)
+	if !complete {
 		operation.Finish(core.Uncertain, nil)
 		h.refuse(w, result.New(result.AnswerCut, "the upstream's answer broke off"))
 		return
 	}
 	operation.Finish(core.Done, recorded)
-	h.give(w, recorded, result.Answered)
+	h.writeRecorded(w, recorded, result.Answered)
 }
 
-// detach gives the call a context that does not end with the caller's.
+// detach returns a copy of the call whose context is not cancelled when the
+// caller disconnects.
 func (c *call) detach() *call {
 	d := *c
 	d.request = c.request.WithContext(context.WithoutCancel(c.request.Context()))
 	return &d
 }
 
-// sendOnce sends to one upstream after the other until one may have got it. Only
-// proof that the last did not run it allows the next.
-func (h *Handler) sendOnce(ctx context.Context, c *call) attempted {
+// sendOnce tries one upstream after the other until one may have received the
+// request. It tries the next one only if the last certainly did not run it.
+func (h *Handler) sendOnce(ctx context.Context, c *call) attemptResult {
 	var tried []*Upstream
-	var end attempted
+	var res attemptResult
 	for {
 		trial := len(tried) == 0 && c.service.Policy().OnlyAtMostOnce()
 		u, refused := c.service.acquire(ctx, c.deadline, trial, tried)
 		if u == nil {
-			if end.failure == nil {
-				end.refused = refused
+			if res.failure == nil {
+				res.refused = refused
 			}
-			return end
+			return res
 		}
 		tried = append(tried, u)
-		end = attempted{upstream: u}
-		end.answer, end.failure = h.exchange(ctx, c, u, true)
-		if end.answer != nil || !end.failure.proven() || !c.rewindable() {
-			return end
+		res = attemptResult{upstream: u}
+		res.answer, res.failure = h.exchange(ctx, c, u, true)
+		if res.answer != nil || !res.failure.notRun() || !c.rewindable() {
+			return res
 		}
 	}
 }
 
-// stage is what the ledger is told of an end without an answer.
-func (a attempted) stage() core.Stage {
-	if a.failure == nil || a.failure.proven() {
+// stage returns the stage to record in the operation table for an attempt without
+// an answer.
+func (a attemptResult) stage() core.Stage {
+	if a.failure == nil || a.failure.notRun() {
 		return core.NotStarted
 	}
 	return core.Uncertain
 }
 
-func (h *Handler) tell(w http.ResponseWriter, end attempted) {
+func (h *Handler) writeResult(w http.ResponseWriter, res attemptResult) {
 	switch {
-	case end.answer != nil:
-		h.relay(w, end.answer)
-	case end.failure != nil:
-		h.refuse(w, end.failure.result())
+	case res.answer != nil:
+		h.relay(w, res.answer)
+	case res.failure != nil:
+		h.refuse(w, res.failure.result())
 	default:
-		h.refuse(w, end.refused)
+		h.refuse(w, res.refused)
 	}
 }
 
-// record reads an answer to its end. It is whole even when it is too large to be
-// kept; the ledger then only remembers that it ran.
+// record reads an answer to its end and reports whether it is complete. An answer
+// too large to keep is complete too; the operation table then only records that
+// the operation ran.
 func record(a *answer) (*core.Recorded, bool) {
 	defer a.close()
 	body := a.prefix
-	if !a.whole {
+	if !a.complete {
 		rest, err := io.ReadAll(a.response.Body)
 		if err != nil {
 			return nil, false
@@ -135,9 +138,9 @@
 	return recorded, true
 }
 
-// born returns when a key was made, if it is a UUID of version 7, which begins
-// with that time.
-func born(name string) time.Time {
+// keyTime returns the creation time of a key that is a UUID of version 7, which
+// starts with a timestamp, and the zero time for any other key.
+func keyTime(name string) time.Time {
 	const timeOrdered = 7
 	id, err := uuid.Parse(name)
 	if err != nil || id.Version() != timeOrdered {
@@ -146,7 +149,8 @@
 	return time.Unix(id.Time().UnixTime())
 }
 
-// operationKey names an operation by what the caller's key is good for.
+// operationKey returns the key of an operation: a hash of the caller's key and its
+// scope, the service and the account.
 func operationKey(service, account, name string) core.Key {
 	var k core.Key
 	first, second := xxhash.NewWithSeed(1), xxhash.NewWithSeed(2)
@@ -161,7 +165,8 @@
 	return k
 }
 
-// bodyHash tells the same operation from another one under the same key.
+// bodyHash returns a hash of method, path, query and body. It distinguishes a repeat
+// from a different request under the same key.
 func bodyHash(c *call) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(c.request.Method + " " + c.path + "?" + c.request.URL.RawQuery + "\n")
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -34,25 +34,26 @@
       - {name: post, pattern: "POST /post", operation: at_most_once, timeout: 3s}
 `
 
-// bed is a handler over upstreams, with a ledger that always grants.
-type bed struct {
+// testCluster is a handler over upstreams, with an operation table that grants every
+// claim.
+type testCluster struct {
 	*Handler
-	service *Service
-	server  *httptest.Server
-	ends    atomic.Pointer[core.Stage]
+	service  *Service
+	server   *httptest.Server
+	finished atomic.Pointer[core.Stage]
 }
 
-func (b *bed) Service(string, string) *Service { return b.service }
+func (b *testCluster) Service(string, string) *Service { return b.service }
 
-func (b *bed) Complete() bool { return true }
+func (b *testCluster) Complete() bool { return true }
 
-func (b *bed) Begin(context.Context, string, core.Key, uint64, time.Time) (Operation, *core.Recorded, *result.Error) {
+func (b *testCluster) Begin(context.Context, string, core.Key, uint64, time.Time) (Operation, *core.Recorded, *result.Error) {
 	return b, nil, nil
 }
 
-func (b *bed) Finish(stage core.Stage, _ *core.Recorded) { b.ends.Store(&stage) }
+func (b *testCluster) Finish(stage core.Stage, _ *core.Recorded) { b.finished.Store(&stage) }
 
-func newBed(t testing.TB, addresses ...string) *bed {
+func newTestCluster(t testing.TB, addresses ...string) *testCluster {
 	t.Helper()
 	holder, template, accounts := config.NewHolder(), &config.Shard{}, &config.Shard{}
 	template.PutTemplate(config.Change{PublishID: "a"}, testTemplate)
@@ -63,7 +64,7 @@
 		_, err = holder.Apply(key, value)
 		require.NoError(t, err)
 	}
-	b := &bed{service: NewService(holder.Now().Template("t").Service("s"))}
+	b := &testCluster{service: NewService(holder.Now().Template("t").Service("s"))}
 	b.Handler = NewHandler(holder, b, b)
 	var shares []Share
 	for i, a := range addresses {
@@ -77,9 +78,9 @@
 	return b
 }
 
-// send makes a request and returns status, result number and body; err is a broken
-// connection or a body that broke off.
-func (b *bed) send(t *testing.T, method, path, key, body string) (status int, number, text string, err error) {
+// send makes a request and returns the status, result number and body. err is set
+// if the connection broke or the body was truncated.
+func (b *testCluster) send(t *testing.T, method, path, key, body string) (status int, number, text string, err error) {
 	t.Helper()
 	r, err := http.NewRequest(method, b.server.URL+"/a"+path, strings.NewReader(body))
 	require.NoError(t, err)
@@ -95,13 +96,15 @@
 	return answer.StatusCode, answer.Header.Get(result.Header), string(content), err
 }
 
-// dropper is an upstream that answers the first request of a connection, reads the
-// second and closes: what a kept connection does that dies under a request.
+// dropper is an upstream that closes connections while a request runs: if answersFirst
+// is set it answers the first request of a connection, and it closes after the next.
 type dropper struct {
 	net.Listener
 	requests atomic.Int32
 }
 
+// newDropper starts a dropper; answersFirst makes it answer the first request of each
+// connection.
 func newDropper(t *testing.T, answersFirst bool) *dropper {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,7 +124,7 @@
 }
 
 func (d *dropper) serve(c net.Conn, answersFirst bool) {
-	defer c.Close() //nolint:errcheck // It is to break.
+	defer c.Close() //nolint:errcheck // Closing it is the purpose.
 	reader := bufio.NewReader(c)
 	for answered := false; ; answered = true {
 		r, err := http.ReadRequest(reader)
@@ -137,8 +140,8 @@
 	}
 }
 
-// TestTransportWouldReplay shows what is to be avoided: net/http itself sends a
-// keyed POST without a body a second time when its kept connection dies.
+// TestTransportWouldReplay shows why noRewind is needed: net/http itself resends a
+// keyed POST without a body when its reused connection breaks.
 func TestTransportWouldReplay(t *testing.T) {
 	d := newDropper(t, true)
 	transport := &http.Transport{}
@@ -153,17 +156,17 @@
 			_ = answer.Body.Close()
 		}
 	}
-	assert.Greater(t, d.requests.Load(), int32(2), "net/http no longer replays; the care taken may go")
+	assert.Greater(t, d.requests.Load(), int32(2), "net/http no longer resends such requests; noRewind can be removed")
 }
 
-// TestOperationsAreNeverReplayed sends operations, with and without a key and a
-// body, to an upstream whose connections die under them.
+// TestOperationsAreNeverReplayed guards against operations, with and without a key
+// and a body, being sent again when the upstream's connection breaks.
 func TestOperationsAreNeverReplayed(t *testing.T) {
 	for _, answersFirst := range []bool{true, false} {
 		for _, key := range []string{"", "k"} {
 			for _, body := range []string{"", "body"} {
 				d := newDropper(t, answersFirst)
-				b := newBed(t, d.Addr().String())
+				b := newTestCluster(t, d.Addr().String())
 				const sent = 3
 				for range sent {
 					_, number, text, err := b.send(t, http.MethodPost, "/post", key, body)
@@ -178,20 +181,21 @@
 	}
 }
 
-// TestNotRunNeedsProof refuses connections: nothing was sent, and the ledger and
-// the caller are told so.
+// TestNotRunNeedsProof checks that a refused connection is recorded and reported as
+// not run.
 func TestNotRunNeedsProof(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, closed.Close())
-	b := newBed(t, closed.Addr().String())
+	b := newTestCluster(t, closed.Addr().String())
 	_, number, _, err := b.send(t, http.MethodPost, "/post", "k", "body")
 	require.NoError(t, err)
 	assert.Equal(t, "36", number)
-	assert.Equal(t, core.NotStarted, *b.ends.Load())
+	assert.Equal(t, core.NotStarted, *b.finished.Load())
 }
 
-// TestShedIsNotRun lets one upstream shed: the other one gets the operation.
+// TestShedIsNotRun checks that an operation shed by one upstream is sent to the other,
+// and recorded as not run if there is none.
 func TestShedIsNotRun(t *testing.T) {
 	shedding := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "1")
@@ -200,22 +204,22 @@
 	defer shedding.Close()
 	good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") }))
 	defer good.Close()
-	b := newBed(t, shedding.Listener.Addr().String(), good.Listener.Addr().String())
+	b := newTestCluster(t, shedding.Listener.Addr().String(), good.Listener.Addr().String())
 	for range 5 {
 		status, number, text, err := b.send(t, http.MethodPost, "/post", "k", "body")
 		require.NoError(t, err)
 		assert.Equal(t, "200 10 done", fmt.Sprint(status, " ", number, " ", text))
 	}
-	alone := newBed(t, shedding.Listener.Addr().String())
+	alone := newTestCluster(t, shedding.Listener.Addr().String())
 	_, number, _, err := alone.send(t, http.MethodPost, "/post", "k", "body")
 	require.NoError(t, err)
 	assert.Equal(t, "35", number)
-	assert.Equal(t, core.NotStarted, *alone.ends.Load())
+	assert.Equal(t, core.NotStarted, *alone.finished.Load())
 }
 
-// TestCutAnswers lets answers break off: a short one becomes a retry or a code, a
-// long one breaks the caller's connection. None looks whole.
-func TestCutAnswers(t *testing.T) {
+// TestTruncatedAnswers guards against relaying a truncated answer as complete: a short
+// one becomes a retry or an error, a long one breaks the caller's connection.
+func TestTruncatedAnswers(t *testing.T) {
 	for _, size := range []int{100, 10 * prefixBytes} {
 		for _, chunked := range []bool{true, false} {
 			cutting := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -226,7 +230,7 @@
 				w.(http.Flusher).Flush()
 				panic(http.ErrAbortHandler)
 			}))
-			b := newBed(t, cutting.Listener.Addr().String())
+			b := newTestCluster(t, cutting.Listener.Addr().String())
 			status, _, text, err := b.send(t, http.MethodGet, "/get/1", "", "")
 			assert.True(t, err != nil || status == http.StatusBadGateway, "size %d chunked %v: %d, %d bytes", size, chunked, status, len(text))
 			status, _, _, err = b.send(t, http.MethodPost, "/post", "k", "body")
@@ -236,9 +240,9 @@
 	}
 }
 
-// TestSlowCaller sends a part of a body and no more.
+// TestSlowCaller checks that a caller whose body does not arrive in time gets a result.
 func TestSlowCaller(t *testing.T) {
-	b := newBed(t, "127.0.0.1:1")
+	b := newTestCluster(t, "127.0.0.1:1")
 	c, err := net.Dial("tcp", b.server.Listener.Addr().String())
 	require.NoError(t, err)
 	defer c.Close() //nolint:errcheck // Only read from.
@@ -250,8 +254,8 @@
 	assert.Equal(t, "24", answer.Header.Get(result.Header))
 }
 
-// TestRetriesAreBounded lets every upstream fail: the work is at most the stated
-// bound, however many requests there are.
+// TestRetriesAreBounded checks that retries stay within the retry budget when every
+// upstream fails.
 func TestRetriesAreBounded(t *testing.T) {
 	var work atomic.Int32
 	failing := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -261,25 +265,26 @@
 	one, two := httptest.NewServer(failing), httptest.NewServer(failing)
 	defer one.Close()
 	defer two.Close()
-	b := newBed(t, one.Listener.Addr().String(), two.Listener.Addr().String())
+	b := newTestCluster(t, one.Listener.Addr().String(), two.Listener.Addr().String())
 	const sent = 400
 	for range sent {
 		status, _, _, err := b.send(t, http.MethodGet, "/get/1", "", "")
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusInternalServerError, status)
 	}
-	bound := sent + sent/10 + maxTokens/tokenUnit
+	bound := sent + sent/10 + maxRetryTokens/tokenUnit
 	assert.LessOrEqual(t, int(work.Load()), bound)
 	assert.Greater(t, int(work.Load()), sent, "nothing was retried at all")
 }
 
-// TestRetryGoesElsewhere answers every lookup although one upstream fails.
-func TestRetryGoesElsewhere(t *testing.T) {
+// TestRetryUsesAnotherUpstream checks that every lookup is answered although one
+// upstream fails, and that its failures are still counted.
+func TestRetryUsesAnotherUpstream(t *testing.T) {
 	failing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }))
 	defer failing.Close()
 	good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") }))
 	defer good.Close()
-	b := newBed(t, failing.Listener.Addr().String(), good.Listener.Addr().String())
+	b := newTestCluster(t, failing.Listener.Addr().String(), good.Listener.Addr().String())
 	for range 5 {
 		_, _, text, err := b.send(t, http.MethodGet, "/get/1", "", "")
 		require.NoError(t, err)
@@ -289,18 +294,18 @@
 	for _, u := range b.service.Upstreams() {
 		counts[u.Name()] = u.Drain()
 	}
-	assert.NotZero(t, counts["u0"].Failed, "retrying hid the evidence")
+	assert.NotZero(t, counts["u0"].Failed, "the failures of retried requests are not counted")
 	assert.Zero(t, counts["u1"].Failed)
 }
 
-// TestOverloadIsRefusedEarly fills all slots: what cannot be served in time is
-// told so at once, with a time to come back.
+// TestOverloadIsRefusedEarly checks that a request that cannot get a slot in time is
+// refused at once with Retry-After.
 func TestOverloadIsRefusedEarly(t *testing.T) {
 	release := make(chan struct{})
 	busy := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
 	defer busy.Close()
-	b := newBed(t, busy.Listener.Addr().String())
-	b.service.meanNano.Store(int64(time.Minute)) // As if work took a minute each.
+	b := newTestCluster(t, busy.Listener.Addr().String())
+	b.service.meanNanos.Store(int64(time.Minute)) // A long expected wait.
 	var sending sync.WaitGroup
 	for range 4 {
 		sending.Go(func() { _, _, _, _ = b.send(t, http.MethodGet, "/get/1", "", "") })
@@ -315,48 +320,51 @@
 	sending.Wait()
 }
 
-// TestBadCallerIsNotEvidence lets one account's requests fail everywhere.
+// TestBadCallerIsNotEvidence checks that an account's requests that fail at several
+// upstreams do not count against the upstreams.
 func TestBadCallerIsNotEvidence(t *testing.T) {
 	u, other := &Upstream{name: "u"}, &Upstream{name: "other"}
 	a := &config.Account{}
 	now := time.Unix(1000, 0)
-	bl := newBlame()
-	assert.False(t, bl.callers(a, u, now), "the first error counts")
-	assert.False(t, bl.callers(a, u, now), "so does the next of the same upstream")
-	assert.True(t, bl.callers(a, other, now), "a second upstream shows whose fault it is")
-	assert.True(t, bl.callers(a, u, now))
-	bl.cleared(a)
-	assert.False(t, bl.callers(a, other, now), "a success clears the account")
+	attribution := newAttributor()
+	assert.False(t, attribution.recordError(a, u, now), "the first error counts")
+	assert.False(t, attribution.recordError(a, u, now), "so does the next one at the same upstream")
+	assert.True(t, attribution.recordError(a, other, now), "an error at a second upstream is attributed to the account")
+	assert.True(t, attribution.recordError(a, u, now))
+	attribution.recordSuccess(a)
+	assert.False(t, attribution.recordError(a, other, now), "a success clears the account")
 }
 
-// TestCalledOffIsStillLate calls requests off that are past their usual time.
-func TestCalledOffIsStillLate(t *testing.T) {
+// TestCancelledRequestCountsAsSlow checks that a cancelled request counts as slow only
+// if it was already past its slow threshold.
+func TestCancelledRequestCountsAsSlow(t *testing.T) {
 	u := &Upstream{}
 	now := time.Unix(1000, 0)
-	early := u.depart(now, time.Second, time.Minute)
-	late := u.depart(now, time.Second, time.Minute)
-	u.land(early, noEvidence, now.Add(time.Second/2))
-	u.land(late, noEvidence, now.Add(2*time.Second))
+	early := u.track(now, time.Second, time.Minute)
+	late := u.track(now, time.Second, time.Minute)
+	u.finish(early, noEvidence, now.Add(time.Second/2))
+	u.finish(late, noEvidence, now.Add(2*time.Second))
 	assert.Equal(t, core.Count{Slow: 1}, u.Drain())
 }
 
-// BenchmarkLookup counts what a request costs inside the node, client and upstream
-// included.
+// BenchmarkLookup benchmarks a request through the node, including client and
+// upstream.
 func BenchmarkLookup(b *testing.B) {
 	good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") }))
 	defer good.Close()
-	bed := newBed(b, good.Listener.Addr().String())
-	load(b, bed.server.URL+"/a/get/1")
+	cluster := newTestCluster(b, good.Listener.Addr().String())
+	sendLoad(b, cluster.server.URL+"/a/get/1")
 }
 
-// BenchmarkDirect is the same without a node.
+// BenchmarkDirect benchmarks the same request without a node.
 func BenchmarkDirect(b *testing.B) {
 	good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "done") }))
 	defer good.Close()
-	load(b, good.URL)
+	sendLoad(b, good.URL)
 }
 
-func load(b *testing.B, url string) {
+// sendLoad sends b.N requests, one after the other.
+func sendLoad(b *testing.B, url string) {
 	b.ReportAllocs()
 	for range b.N {
 		answer, err := http.Get(url)
--- a/proxy/relay.go
+++ b/proxy/relay.go
@@ -11,9 +11,9 @@
 	"eiderfold/result"
 )
 
-// relay gives the caller an upstream's answer. A short one is whole already. A
-// long one that breaks off aborts the caller's connection, since by then the head
-// has gone out and nothing else could say that the rest is missing.
+// relay sends an upstream's answer to the caller. A short answer is buffered
+// already. If a long one breaks off, relay aborts the caller's connection: the
+// header has been sent, so there is no other way to signal truncation.
 func (h *Handler) relay(w http.ResponseWriter, a *answer) {
 	defer a.close()
 	h.results.Add(result.Answered.String(), 1)
@@ -21,14 +21,14 @@
 	hop.Strip(a.response.Header)
 	maps.Copy(header, a.response.Header)
 	result.Mark(header, result.Answered)
-	if a.whole && a.response.Request.Method != http.MethodHead {
+	if a.complete && a.response.Request.Method != http.MethodHead {
 		header.Set("Content-Length", strconv.Itoa(len(a.prefix)))
 	}
 	w.WriteHeader(a.response.StatusCode)
 	if _, err := w.Write(a.prefix); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	if a.whole {
+	if a.complete {
 		return
 	}
 	if _, err := io.Copy(w, a.response.Body); err != nil {
@@ -37,14 +37,14 @@
 	}
 }
 
-// replay gives the caller a recorded answer.
+// replay sends a recorded answer to a caller that repeats a key.
 func (h *Handler) replay(w http.ResponseWriter, recorded *core.Recorded) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(recorded.Body)))
-	h.give(w, recorded, result.Repeated)
+	h.writeRecorded(w, recorded, result.Repeated)
 }
 
-// give writes a kept answer.
-func (h *Handler) give(w http.ResponseWriter, recorded *core.Recorded, c result.Code) {
+// writeRecorded writes a recorded answer with a result code.
+func (h *Handler) writeRecorded(w http.ResponseWriter, recorded *core.Recorded, c result.Code) {
 	h.results.Add(c.String(), 1)
 	header := w.Header()
 	for name, value := range recorded.Header {
@@ -52,5 +52,5 @@
 	}
 	result.Mark(header, c)
 	w.WriteHeader(recorded.Status)
-	_, _ = w.Write(recorded.Body) // The caller may be gone; the record stays.
+	_, _ = w.Write(recorded.Body) // The caller may have disconnected; the record stays.
 }
--- a/proxy/retryable.go
+++ b/proxy/retryable.go
@@ -8,31 +8,32 @@
 	"eiderfold/result"
 )
 
-// attempted is the end of one attempt.
-type attempted struct {
+// attemptResult is the outcome of one attempt; exactly one of answer, failure and
+// refused is set.
+type attemptResult struct {
 	upstream *Upstream
 	answer   *answer
 	failure  *failure
-	refused  *result.Error // No upstream could be had.
+	refused  *result.Error // No upstream could be acquired.
 }
 
-// usable reports whether the attempt's answer is one to give the caller without
-// looking further.
-func (a attempted) usable() bool {
+// usable reports whether the attempt's answer can be sent to the caller without a
+// further attempt.
+func (a attemptResult) usable() bool {
 	return a.answer != nil && a.answer.response.StatusCode < http.StatusInternalServerError
 }
 
-// race runs the attempts of one retryable request. The first goes out at once;
-// another follows when one fails, or when the first is late (a hedge). Each
-// beyond the first is paid out of the service's budget.
+// race runs the attempts of one retryable request. The first starts at once,
+// another one when an attempt fails, or when the first is slow (a hedge). Each
+// attempt after the first takes a token of the service's retry budget.
 type race struct {
 	handler *Handler
 	call    *call
 	ctx     context.Context
-	ends    chan attempted
+	results chan attemptResult
 	running int
 	tried   []*Upstream
-	last    attempted // The best of what has ended.
+	best    attemptResult // The best result so far.
 	hedged  bool
 }
 
@@ -40,42 +41,42 @@
 
 func (h *Handler) serveRetryable(w http.ResponseWriter, c *call) {
 	ctx, cancel := context.WithCancel(c.request.Context())
-	defer cancel() // Calls off whatever attempt lost.
-	r := &race{handler: h, call: c, ctx: ctx, ends: make(chan attempted, maxAttempts)}
-	end := r.run()
+	defer cancel() // Cancels the attempts that lost.
+	r := &race{handler: h, call: c, ctx: ctx, results: make(chan attemptResult, maxAttempts)}
+	res := r.run()
 	r.abandon()
-	h.tell(w, end)
+	h.writeResult(w, res)
 }
 
-// run returns the end to tell the caller.
-func (r *race) run() attempted {
+// run runs the attempts and returns the result for the caller.
+func (r *race) run() attemptResult {
 	r.start()
-	hedge := time.NewTimer(r.call.usual.Cut())
+	hedge := time.NewTimer(r.call.latency.Cut())
 	defer hedge.Stop()
 	for r.running > 0 {
 		select {
-		case end := <-r.ends:
+		case res := <-r.results:
 			r.running--
-			if end.usable() {
-				r.keep(end)
-				return end
+			if res.usable() {
+				r.keepBest(res)
+				return res
 			}
-			r.keep(end)
-			if r.mayRetry(end) {
+			r.keepBest(res)
+			if r.mayRetry(res) {
 				r.start()
 			}
 		case <-hedge.C:
 			r.hedge()
 		}
 	}
-	return r.last
+	return r.best
 }
 
-// start sends another attempt to an upstream that has not been tried.
+// start starts another attempt, at an upstream that has not been tried.
 func (r *race) start() {
 	u, refused := r.call.service.acquire(r.ctx, r.call.deadline, len(r.tried) == 0, r.tried)
 	if u == nil {
-		r.keep(attempted{refused: refused})
+		r.keepBest(attemptResult{refused: refused})
 		return
 	}
 	r.launch(u)
@@ -86,15 +87,15 @@
 	r.running++
 	go func() {
 		a, f := r.handler.exchange(r.ctx, r.call, u, false)
-		r.ends <- attempted{upstream: u, answer: a, failure: f}
+		r.results <- attemptResult{upstream: u, answer: a, failure: f}
 	}()
 }
 
-// hedge sends a second attempt without giving up the first, if a slot is free at
-// once; waiting for one would only add load when there is much already.
+// hedge starts a second attempt without cancelling the first, if a slot is free.
+// It does not wait for one, since that would add load to a busy service.
 func (r *race) hedge() {
 	c := r.call
-	if r.hedged || len(r.tried) != 1 || !c.rewindable() || !c.service.spend() {
+	if r.hedged || len(r.tried) != 1 || !c.rewindable() || !c.service.takeRetryToken() {
 		return
 	}
 	r.hedged = true
@@ -103,38 +104,39 @@
 	}
 }
 
-// mayRetry decides whether an end is worth another attempt.
-func (r *race) mayRetry(end attempted) bool {
+// mayRetry reports whether another attempt may follow a result, and takes a retry
+// token if so.
+func (r *race) mayRetry(res attemptResult) bool {
 	c := r.call
-	if r.running > 0 || end.refused != nil || len(r.tried) >= maxAttempts || !c.rewindable() {
+	if r.running > 0 || res.refused != nil || len(r.tried) >= maxAttempts || !c.rewindable() {
 		return false
 	}
-	if end.failure != nil && (end.failure.reason == deserted || end.failure.reason == late) {
+	if res.failure != nil && (res.failure.reason == callerGone || res.failure.reason == timedOut) {
 		return false
 	}
 	if !time.Now().Before(c.deadline) {
 		return false
 	}
-	return c.service.spend()
+	return c.service.takeRetryToken()
 }
 
-// keep holds on to the best end so far: an answer is worth more than a failure,
-// and that worth more than a refusal to try again.
-func (r *race) keep(end attempted) {
-	if r.last.answer != nil {
-		if end.answer == nil {
+// keepBest keeps the best result so far: an answer is preferred to a failure, and
+// a failure to a refusal of a further attempt.
+func (r *race) keepBest(res attemptResult) {
+	if r.best.answer != nil {
+		if res.answer == nil {
 			return
 		}
-		r.last.answer.close()
+		r.best.answer.close()
 	}
-	if end.answer == nil && end.failure == nil && r.last.failure != nil {
+	if res.answer == nil && res.failure == nil && r.best.failure != nil {
 		return
 	}
-	r.last = end
+	r.best = res
 }
 
-// abandon closes the answers of attempts that lost, when they come. Their
-// contexts are cancelled, so that is soon.
+// abandon closes the answers of attempts that lost, once they arrive. Their
+// contexts are cancelled, so they end soon.
 func (r *race) abandon() {
 	if r.running == 0 {
 		return
@@ -142,8 +144,8 @@
 	n := r.running
 	go func() {
 		for range n {
-			if end := <-r.ends; end.answer != nil {
-				end.answer.close()
+			if res := <-r.results; res.answer != nil {
+				res.answer.close()
 			}
 		}
 	}()
--- a/proxy/upstream.go
+++ b/proxy/upstream.go
@@ -13,65 +13,66 @@
 const (
 	connectTimeout = 500 * time.Millisecond
 	idleTimeout    = 30 * time.Second
-	flightSlots    = 256 // Requests in flight that are watched for being late; more are not lost, only unwatched.
+	maxTracked     = 256 // Requests in flight that Watch checks; further ones are served untracked.
 	maxHeaderBytes = 64 << 10
 )
 
-// Upstream is one upstream as this node sees it. The request path touches only
-// its atomics, so requests to different upstreams share nothing.
+// Upstream holds this node's state of an upstream. The request path uses only its
+// atomics, so requests to different upstreams do not contend.
 type Upstream struct {
-	name     string
-	service  string
-	address  string
-	inFlight atomic.Int32
-	others   atomic.Int32 // What the other nodes had in flight when last heard.
-	fast     atomic.Uint32
-	slow     atomic.Uint32
-	failed   atomic.Uint32
-	sheds    atomic.Int64 // Unix nanoseconds until which it asked to be left alone.
-	refusing atomic.Bool  // It said itself that it is leaving.
-	next     atomic.Uint32
-	flights  [flightSlots]atomic.Pointer[flight]
-	shared   *http.Transport // Retryable work: connections are kept.
-	single   *http.Transport // At-most-once work: a connection each.
+	name           string
+	service        string
+	address        string
+	inFlight       atomic.Int32
+	othersInFlight atomic.Int32 // Requests in flight from the other nodes, as last reported.
+	fast           atomic.Uint32
+	slow           atomic.Uint32
+	failed         atomic.Uint32
+	shedUntil      atomic.Int64 // Unix nanoseconds; no requests until then.
+	leaving        atomic.Bool  // It reported that it is leaving.
+	nextTracked    atomic.Uint32
+	tracked        [maxTracked]atomic.Pointer[inFlightRequest]
+	shared         *http.Transport // For retryable work; connections are reused.
+	dedicated      *http.Transport // For at-most-once work; one connection per request.
 }
 
-// flight is a request on its way to an upstream.
-type flight struct {
-	started time.Time
-	usual   time.Duration // Past this the answer is slow.
-	stalled time.Duration // Past this it counts as failed.
-	counted atomic.Uint32 // What it has been counted as already.
-	slot    int32         // Where it is watched, -1 for nowhere.
+// inFlightRequest is a request sent to an upstream and not yet finished.
+type inFlightRequest struct {
+	started    time.Time
+	slowAfter  time.Duration // After this time it counts as slow.
+	stallAfter time.Duration // After this time it counts as failed.
+	counted    atomic.Uint32 // One of notCounted, countedSlow and countedFailed.
+	index      int32         // In Upstream.tracked; -1 if untracked.
 }
 
-// What a flight has been counted as.
+// Values of inFlightRequest.counted, in increasing severity.
 const (
 	notCounted uint32 = iota
 	countedSlow
 	countedFailed
 )
 
-// NewUpstream returns an upstream at an IP:port. Connections to it come from the
-// IP number of local, which is nil for whatever the system takes.
+// NewUpstream returns an upstream at an IP:port. Connections to it have local as
+// their source address; nil lets the system choose.
 func NewUpstream(service, name, address string, connections int, local net.IP) *Upstream {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	if local != nil && !local.IsUnspecified() {
 		dialer.LocalAddr = &net.TCPAddr{IP: local}
 	}
 	return &Upstream{
-		name:    name,
-		service: service,
-		address: address,
-		shared:  transport(dialer, connections, false),
-		single:  transport(dialer, connections, true),
+		name:      name,
+		service:   service,
+		address:   address,
+		shared:    transport(dialer, connections, false),
+		dedicated: transport(dialer, connections, true),
 	}
 }
 
-// transport gives each kind of work half of this node's connections. A kept
-// connection may be closed by the upstream just as a request goes out on it, and
-// then nobody knows whether the request ran; so at-most-once work never uses one.
-func transport(dialer *net.Dialer, connections int, single bool) *http.Transport {
+// transport returns a transport for retryable or at-most-once work with half of
+// this node's connections. An upstream may close a reused connection just as a
+// request is sent on it, and then it is unknown whether the request ran; so
+// at-most-once work uses a dedicated connection for each request.
+func transport(dialer *net.Dialer, connections int, dedicated bool) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			connection, err := dialer.DialContext(ctx, network, address)
@@ -83,16 +84,16 @@
 		MaxConnsPerHost:        max(connections/2, 1),
 		MaxIdleConnsPerHost:    max(connections/2, 1),
 		IdleConnTimeout:        idleTimeout,
-		DisableKeepAlives:      single,
+		DisableKeepAlives:      dedicated,
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 }
 
-// connectError says that no connection came about, so nothing was sent.
+// connectError is a failure to connect: nothing was sent.
 type connectError struct{ error }
 
-// Unwrap returns the cause.
+// Unwrap returns the dialer's error.
 func (e *connectError) Unwrap() error { return e.error }
 
 // Name returns the upstream's name in the instance list.
@@ -104,31 +105,31 @@
 // Address returns the IP:port.
 func (u *Upstream) Address() string { return u.address }
 
-// InFlight returns how many requests of this node it works on.
+// InFlight returns this node's number of requests in flight at the upstream.
 func (u *Upstream) InFlight() int { return int(u.inFlight.Load()) }
 
-// Refusing reports whether it said itself that it is leaving.
-func (u *Upstream) Refusing() bool { return u.refusing.Load() }
+// Refusing reports whether the upstream has refused a request because it is leaving.
+func (u *Upstream) Refusing() bool { return u.leaving.Load() }
 
-// Close gives its idle connections back.
+// Close closes the idle connections.
 func (u *Upstream) Close() {
 	u.shared.CloseIdleConnections()
-	u.single.CloseIdleConnections()
+	u.dedicated.CloseIdleConnections()
 }
 
-// SetOthers tells what all nodes together had in flight.
+// SetOthers derives the other nodes' requests in flight from the total of all nodes.
 func (u *Upstream) SetOthers(total int) {
-	u.others.Store(int32(max(total-u.InFlight(), 0)))
+	u.othersInFlight.Store(int32(max(total-u.InFlight(), 0)))
 }
 
-// take counts a request in if a slot is free.
-func (u *Upstream) take(slots int) bool {
-	// At least one slot stays for this node, or a stale report of the others'
-	// load could keep it from ever asking.
-	room := max(int32(slots)-u.others.Load(), 1)
+// tryAcquire takes a slot and reports whether one was free.
+func (u *Upstream) tryAcquire(slots int) bool {
+	// This node always has one slot, or a stale report of the others' load could
+	// keep it from ever sending a request.
+	limit := max(int32(slots)-u.othersInFlight.Load(), 1)
 	for {
 		n := u.inFlight.Load()
-		if n >= room {
+		if n >= limit {
 			return false
 		}
 		if u.inFlight.CompareAndSwap(n, n+1) {
@@ -139,62 +140,63 @@
 
 func (u *Upstream) release() { u.inFlight.Add(-1) }
 
-// depart starts watching a request.
-func (u *Upstream) depart(at time.Time, usual, stalled time.Duration) *flight {
-	f := &flight{started: at, usual: usual, stalled: stalled, slot: -1}
-	first := u.next.Add(1)
-	for i := range uint32(flightSlots) {
-		slot := (first + i) % flightSlots
-		if u.flights[slot].CompareAndSwap(nil, f) {
-			f.slot = int32(slot)
+// track registers a request for Watch.
+func (u *Upstream) track(at time.Time, slowAfter, stallAfter time.Duration) *inFlightRequest {
+	f := &inFlightRequest{started: at, slowAfter: slowAfter, stallAfter: stallAfter, index: -1}
+	first := u.nextTracked.Add(1)
+	for i := range uint32(maxTracked) {
+		index := (first + i) % maxTracked
+		if u.tracked[index].CompareAndSwap(nil, f) {
+			f.index = int32(index)
 			break
 		}
 	}
 	return f
 }
 
-// land counts how a request ended and stops watching it.
-func (u *Upstream) land(f *flight, o outcome, at time.Time) {
-	if f.slot >= 0 {
-		u.flights[f.slot].Store(nil)
+// finish counts a request's outcome and stops tracking it.
+func (u *Upstream) finish(f *inFlightRequest, o outcome, at time.Time) {
+	if f.index >= 0 {
+		u.tracked[f.index].Store(nil)
 	}
 	switch o {
 	case good:
-		if at.Sub(f.started) <= f.usual {
+		if at.Sub(f.started) <= f.slowAfter {
 			u.fast.Add(1)
 			return
 		}
-		u.count(f, countedSlow)
+		u.countOnce(f, countedSlow)
 	case bad:
-		u.count(f, countedFailed)
+		u.countOnce(f, countedFailed)
 	case noEvidence:
-		// Called off, by the caller or as a hedge was faster. Being late already
-		// counts all the same, or hedges would hide a black hole.
-		if at.Sub(f.started) > f.usual {
-			u.count(f, countedSlow)
+		// Cancelled by the caller or because a hedge was faster, shed, or past its
+		// deadline. If it was already slow it counts as slow, or hedges would hide an
+		// upstream that never answers.
+		if at.Sub(f.started) > f.slowAfter {
+			u.countOnce(f, countedSlow)
 		}
 	}
 }
 
-// Watch counts requests that are late, without waiting for them to end: a black
-// hole must not be judged by its time-out.
+// Watch counts the requests in flight that are already slow or stalled, so that an
+// upstream that never answers is detected before the requests time out.
 func (u *Upstream) Watch(at time.Time) {
-	for i := range u.flights {
-		f := u.flights[i].Load()
+	for i := range u.tracked {
+		f := u.tracked[i].Load()
 		if f == nil {
 			continue
 		}
-		late := at.Sub(f.started)
-		if late > f.stalled {
-			u.count(f, countedFailed)
-		} else if late > f.usual {
-			u.count(f, countedSlow)
+		elapsed := at.Sub(f.started)
+		if elapsed > f.stallAfter {
+			u.countOnce(f, countedFailed)
+		} else if elapsed > f.slowAfter {
+			u.countOnce(f, countedSlow)
 		}
 	}
 }
 
-// count counts a flight once as slow and once as failed at most.
-func (u *Upstream) count(f *flight, as uint32) {
+// countOnce counts a request at most once as slow and once as failed.
+func (u *Upstream) countOnce(f *inFlightRequest, as uint32) {
 	for {
 		before := f.counted.Load()
 		if before >= as {
@@ -211,7 +213,7 @@
 	u.failed.Add(1)
 }
 
-// Drain returns what was counted since the last Drain.
+// Drain returns and resets the counts.
 func (u *Upstream) Drain() core.Count {
 	return core.Count{
 		Upstream: u.name,
@@ -221,11 +223,11 @@
 	}
 }
 
-// outcome is what a request's end says of its upstream.
+// outcome is the evidence that a finished request gives about its upstream.
 type outcome int
 
 const (
-	noEvidence outcome = iota // The caller's doing, or a shed.
+	noEvidence outcome = iota // Cancelled, shed, past its deadline, or the caller's fault.
 	good
 	bad
 )
