--- a/keys/keys.go
+++ b/keys/keys.go
@@ -1,5 +1,5 @@
-// Package keys makes and reloads the keys of a fleet: one certificate authority,
-// and a certificate for each node that is good for both ends of a connection.
+// Package keys creates and reloads the keys of a fleet: one certificate authority,
+// and a certificate for each node, valid for both client and server authentication.
 //
 // # Usage
 //
@@ -8,7 +8,7 @@
 //	files, err := keys.Load(certPath, keyPath, caPath)
 //	tlsConfig := files.Mutual()
 //
-// Files are looked at again every few seconds, so a rotation needs no restart.
+// Follow reloads the files every few seconds, so a rotation needs no restart.
 package keys
 
 import (
@@ -29,12 +29,12 @@
 )
 
 const (
-	validity     = 90 * 24 * time.Hour
-	clockSkew    = time.Hour
-	serialBits   = 120
-	reloadPeriod = 5 * time.Second
-	// ServerName is the name every node's certificate carries besides its own.
-	// Nodes are dialled by IP number and know each other by this name.
+	certificateValidity = 90 * 24 * time.Hour
+	clockSkew           = time.Hour // Subtracted from the start of the validity.
+	serialBits          = 120
+	reloadPeriod        = 5 * time.Second
+	// ServerName is a DNS name in every node's certificate besides its own name. Nodes
+	// are dialled by IP address and verified by this name.
 	ServerName = "node.eiderfold"
 )
 
@@ -51,11 +51,11 @@
 	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority with a fresh key.
+// NewAuthority returns an authority with a new key.
 func NewAuthority(name string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make the authority's key")
+		return nil, errors.Wrap(err, "generate the authority's key")
 	}
 	template, err := newTemplate(name)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return &Authority{pair: pair, certificate: certificate, key: key}, nil
 }
 
-// OpenAuthority returns the authority that a pair was written from.
+// OpenAuthority returns the authority with a given pair, as returned by Pair.
 func OpenAuthority(p Pair) (*Authority, error) {
 	certificate, err := parse(p.Certificate)
 	if err != nil {
@@ -98,11 +98,11 @@
 // Certificate returns the authority's certificate in PEM.
 func (a *Authority) Certificate() []byte { return a.pair.Certificate }
 
-// Issue makes a certificate for a node and the IP numbers it listens on.
+// Issue issues a certificate for a node and the IP addresses it listens on.
 func (a *Authority) Issue(name string, addresses []string) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, errors.Wrap(err, "make a node's key")
+		return Pair{}, errors.Wrap(err, "generate a node's key")
 	}
 	template, err := newTemplate(name)
 	if err != nil {
@@ -112,7 +112,7 @@
 	for _, text := range addresses {
 		ip := net.ParseIP(text)
 		if ip == nil {
-			return Pair{}, errors.Errorf("%q is no IP number", text)
+			return Pair{}, errors.Errorf("%q is not an IP address", text)
 		}
 		template.IPAddresses = append(template.IPAddresses, ip)
 	}
@@ -124,14 +124,14 @@
 func newTemplate(name string) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errors.Wrap(err, "draw a serial number")
+		return nil, errors.Wrap(err, "generate a serial number")
 	}
 	now := time.Now()
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-clockSkew),
-		NotAfter:     now.Add(validity),
+		NotAfter:     now.Add(certificateValidity),
 	}, nil
 }
 
@@ -159,31 +159,32 @@
 	return certificate, errors.Wrap(err, "parse certificate")
 }
 
-// Material is a node's own pair and the authority it trusts. It is safe for
-// several goroutines.
+// Material holds a node's own pair and the authorities it trusts. It is safe for
+// concurrent use.
 type Material struct {
-	now   atomic.Pointer[material]
-	paths [3]string
+	current atomic.Pointer[loadedMaterial]
+	paths   [3]string // Of certificate, key and authority; empty if not loaded from files.
 }
 
-type material struct {
+// loadedMaterial is the immutable content of a Material.
+type loadedMaterial struct {
 	certificate tls.Certificate
 	authorities *x509.CertPool
 }
 
-// New returns material from PEM text.
+// New returns material from PEM blocks.
 func New(pair Pair, authority []byte) (*Material, error) {
 	m := &Material{}
 	return m, m.set(pair, authority)
 }
 
-// Load reads material from files.
+// Load returns material from the PEM files at the given paths.
 func Load(certificate, key, authority string) (*Material, error) {
 	m := &Material{paths: [3]string{certificate, key, authority}}
 	return m, m.Reload()
 }
 
-// Reload reads the files again. On an error the old material stays in use.
+// Reload reads the files again. On an error the previous material stays in use.
 func (m *Material) Reload() error {
 	var texts [3][]byte
 	for i, p := range m.paths {
@@ -196,7 +197,8 @@
 	return m.set(Pair{Certificate: texts[0], Key: texts[1]}, texts[2])
 }
 
-// Follow reloads the files until stop is closed, and tells report of errors.
+// Follow reloads the files every reloadPeriod until stop is closed, and passes errors
+// to report. It returns at once if the material was not loaded from files.
 func (m *Material) Follow(stop <-chan struct{}, report func(error)) {
 	if m.paths[0] == "" {
 		return
@@ -224,38 +226,38 @@
 	if !pool.AppendCertsFromPEM(authority) {
 		return errors.New("authority: no PEM certificate")
 	}
-	m.now.Store(&material{certificate: certificate, authorities: pool})
+	m.current.Store(&loadedMaterial{certificate: certificate, authorities: pool})
 	return nil
 }
 
-// Mutual returns a configuration for both ends between nodes: each shows its
-// certificate and checks the other's against the authority. Both are looked up
-// at every handshake, so new files count from the next connection on.
+// Mutual returns a client and server configuration for mutual TLS between nodes.
+// Certificate and authorities are read at each handshake, so reloaded files apply to
+// new connections.
 func (m *Material) Mutual() *tls.Config {
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS13,
 		ServerName:           ServerName,
-		InsecureSkipVerify:   true, // Replaced by VerifyConnection, which can follow a new authority.
+		InsecureSkipVerify:   true, // VerifyConnection verifies instead, with the current authorities.
 		VerifyConnection:     m.verify,
 		ClientAuth:           tls.RequireAnyClientCert,
-		GetCertificate:       func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &m.now.Load().certificate, nil },
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &m.now.Load().certificate, nil },
+		GetCertificate:       func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &m.current.Load().certificate, nil },
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &m.current.Load().certificate, nil },
 	}
 }
 
-// Server returns a configuration towards callers and operators, who need not
-// show a certificate.
+// Server returns a server configuration for callers and operators, which need no
+// client certificate.
 func (m *Material) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &m.now.Load().certificate, nil },
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &m.current.Load().certificate, nil },
 	}
 }
 
-// verify checks the other end's chain and that it is a node of this fleet.
+// verify checks the peer's certificate chain and that the peer is a node of this fleet.
 func (m *Material) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("the other end shows no certificate")
+		return errors.New("peer presented no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
@@ -263,9 +265,9 @@
 	}
 	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
 		DNSName:       ServerName,
-		Roots:         m.now.Load().authorities,
+		Roots:         m.current.Load().authorities,
 		Intermediates: intermediates,
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
-	return errors.Wrap(err, "the other end is no node of this fleet")
+	return errors.Wrap(err, "peer is not a node of this fleet")
 }
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// write puts a pair and its authority into files.
-func write(t *testing.T, dir string, p Pair, authority []byte) [3]string {
+// writeFiles writes a pair and its authority to files and returns their paths.
+func writeFiles(t *testing.T, dir string, p Pair, authority []byte) [3]string {
 	t.Helper()
 	paths := [3]string{filepath.Join(dir, "c"), filepath.Join(dir, "k"), filepath.Join(dir, "a")}
 	for i, text := range [][]byte{p.Certificate, p.Key, authority} {
@@ -21,12 +21,13 @@
 	return paths
 }
 
-// shake makes a handshake between two materials and returns the client's error.
-func shake(t *testing.T, server, client *Material) error {
+// handshake makes a TLS handshake between two materials and returns the client's error,
+// or the server's if the client has none.
+func handshake(t *testing.T, server, client *Material) error {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close() //nolint:errcheck // It has served.
+	defer l.Close() //nolint:errcheck // No longer needed.
 	failed := make(chan error, 1)
 	go func() {
 		far, err := l.Accept()
@@ -39,15 +40,15 @@
 	near, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
 	err = tls.Client(near, client.Mutual()).Handshake()
-	_ = near.Close() // The server may still wait for a refused client.
+	_ = near.Close() // Unblocks a server that still waits for the client.
 	if serverErr := <-failed; err == nil {
 		err = serverErr
 	}
 	return err
 }
 
-// TestRotation replaces a node's keys by ones of a new authority, which the other
-// node trusts beside the old one.
+// TestRotation checks that a node's keys can be replaced, without a restart, by keys of
+// a new authority that the other node trusts as well as the old one.
 func TestRotation(t *testing.T) {
 	before, err := NewAuthority("before")
 	require.NoError(t, err)
@@ -59,23 +60,23 @@
 	other, err := before.Issue("b", []string{"127.0.0.1"})
 	require.NoError(t, err)
 	dir := t.TempDir()
-	paths := write(t, dir, first, before.Certificate())
+	paths := writeFiles(t, dir, first, before.Certificate())
 	a, err := Load(paths[0], paths[1], paths[2])
 	require.NoError(t, err)
 	b, err := New(other, both)
 	require.NoError(t, err)
-	require.NoError(t, shake(t, a, b))
+	require.NoError(t, handshake(t, a, b))
 	second, err := after.Issue("a", []string{"127.0.0.1"})
 	require.NoError(t, err)
-	write(t, dir, second, both)
+	writeFiles(t, dir, second, both)
 	require.NoError(t, a.Reload())
-	assert.NoError(t, shake(t, a, b))
+	assert.NoError(t, handshake(t, a, b))
 	onlyOld, err := New(other, before.Certificate())
 	require.NoError(t, err)
-	assert.Error(t, shake(t, a, onlyOld), "who does not trust the new authority refuses its keys")
+	assert.Error(t, handshake(t, a, onlyOld), "a node that does not trust the new authority refuses its keys")
 	require.NoError(t, os.WriteFile(paths[1], []byte("broken"), 0o600))
 	require.Error(t, a.Reload())
-	assert.NoError(t, shake(t, a, b), "the old keys stay in use")
+	assert.NoError(t, handshake(t, a, b), "the previous keys stay in use")
 }
 
 func TestAuthorityFromFiles(t *testing.T) {
@@ -87,7 +88,7 @@
 	require.NoError(t, err)
 	m, err := New(pair, a.Certificate())
 	require.NoError(t, err)
-	assert.NoError(t, shake(t, m, m))
+	assert.NoError(t, handshake(t, m, m))
 	_, err = again.Issue("n", []string{"node-1"})
-	assert.ErrorContains(t, err, "no IP number")
+	assert.ErrorContains(t, err, "not an IP address")
 }
