--- a/memory/directory.go
+++ b/memory/directory.go
@@ -11,23 +11,23 @@
 	"eiderfold/port"
 )
 
-// Faults are what is wrong with a Directory.
+// Faults selects the faults that a Directory simulates.
 type Faults struct {
-	Out        bool // Every call fails, nothing is done.
-	LoseWrites bool // Writes are done, and their answers lost.
-	Deaf       bool // Watches hear nothing until their wait is over.
+	Out        bool // Every call fails without effect.
+	LoseWrites bool // Writes take effect but return port.ErrUnknown.
+	Deaf       bool // Watches return no changes before their wait expires.
 }
 
-// Directory is a port.Directory in memory, with faults.
+// Directory is a port.Directory in memory with fault injection.
 type Directory struct {
-	mu       sync.Mutex
-	faults   Faults
-	entries  map[string]port.Entry
-	history  []port.Entry // What was written and removed.
-	oldest   uint64       // Changes up to this revision are forgotten.
-	era      uint64
-	revision uint64
-	changed  chan struct{} // Closed, and replaced, with every change.
+	mu          sync.Mutex
+	faults      Faults
+	entries     map[string]port.Entry
+	history     []port.Entry // Writes and removals, by revision.
+	compactedTo uint64       // Changes up to this revision have been compacted.
+	era         uint64
+	revision    uint64
+	changed     chan struct{} // Closed and replaced with every change.
 }
 
 var _ port.Directory = (*Directory)(nil)
@@ -41,63 +41,64 @@
 	}
 }
 
-// SetFaults changes what is wrong.
+// SetFaults replaces the simulated faults.
 func (d *Directory) SetFaults(f Faults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults = f
-	d.wake()
+	d.notifyWatchers()
 }
 
-// Compact forgets the history, so that watches must begin anew.
+// Compact discards the history, so that watches of earlier revisions fail with
+// port.ErrCompacted.
 func (d *Directory) Compact() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.history = nil
-	d.oldest = d.revision
+	d.compactedTo = d.revision
 }
 
-// Copy is what a directory held at some time.
+// Copy is a backup of a directory's contents.
 type Copy struct {
 	entries  map[string]port.Entry
 	revision uint64
 }
 
-// Copy returns what the directory holds now.
+// Copy returns a backup of the directory's current contents.
 func (d *Directory) Copy() Copy {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return Copy{entries: maps.Clone(d.entries), revision: d.revision}
 }
 
-// Restore brings an older copy back. What was written since is gone, revisions go on from
-// those of the copy, and waiting watches end.
+// Restore restores a backup. Later writes are lost, revisions continue from that of the
+// backup in a new era, and waiting watches end.
 func (d *Directory) Restore(c Copy) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.entries = maps.Clone(c.entries)
 	d.revision = c.revision
 	d.history = slices.DeleteFunc(d.history, func(e port.Entry) bool { return e.Version > c.revision })
-	d.oldest = min(d.oldest, c.revision)
+	d.compactedTo = min(d.compactedTo, c.revision)
 	d.era++
-	d.wake()
+	d.notifyWatchers()
 }
 
-// Moment returns the present.
+// Moment returns the directory's current era and revision.
 func (d *Directory) Moment() port.Moment {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.moment()
 }
 
-// moment returns the present, with the lock held.
+// moment is Moment with the lock held.
 func (d *Directory) moment() port.Moment { return port.Moment{Era: d.era, Revision: d.revision} }
 
 // Get implements port.Directory.
 func (d *Directory) Get(_ context.Context, key string) (port.Entry, port.Moment, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.begin(); err != nil {
+	if err := d.checkAvailable(); err != nil {
 		return port.Entry{}, port.Moment{}, err
 	}
 	e, ok := d.entries[key]
@@ -107,7 +108,7 @@
 	return e, d.moment(), nil
 }
 
-// pageEntries is how many entries one page has.
+// pageEntries is the maximum number of entries in a page.
 const pageEntries = 500
 
 // Page implements port.Directory.
@@ -124,7 +125,7 @@
 	return rest[:min(len(rest), pageEntries)], len(rest) > pageEntries, at, nil
 }
 
-// Peek implements port.Directory; here nothing is old.
+// Peek implements port.Directory; its result is never stale.
 func (d *Directory) Peek(ctx context.Context, prefix string) ([]port.Entry, port.Moment, error) {
 	return d.Range(ctx, prefix)
 }
@@ -133,7 +134,7 @@
 func (d *Directory) Range(_ context.Context, prefix string) ([]port.Entry, port.Moment, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.begin(); err != nil {
+	if err := d.checkAvailable(); err != nil {
 		return nil, port.Moment{}, err
 	}
 	var out []port.Entry
@@ -151,14 +152,14 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		found, at, changed, err := d.look(prefix, after, false)
+		found, at, changed, err := d.changesAfter(prefix, after, false)
 		if err != nil || len(found) > 0 {
 			return found, at, err
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			found, at, _, err = d.look(prefix, after, true)
+			found, at, _, err = d.changesAfter(prefix, after, true)
 			return found, at, err
 		case <-ctx.Done():
 			return nil, port.Moment{}, port.ErrUnknown
@@ -166,18 +167,19 @@
 	}
 }
 
-// look returns what a watch finds now, and the channel that ends its wait. A deaf
-// one finds nothing before its wait is over.
-func (d *Directory) look(prefix string, after port.Moment, over bool) ([]port.Entry, port.Moment, chan struct{}, error) {
+// changesAfter returns the changes below a prefix after a revision, and a channel that is
+// closed with the next change. With the fault Deaf it finds changes only if the watch's
+// wait has expired.
+func (d *Directory) changesAfter(prefix string, after port.Moment, expired bool) ([]port.Entry, port.Moment, chan struct{}, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.begin(); err != nil {
+	if err := d.checkAvailable(); err != nil {
 		return nil, port.Moment{}, nil, err
 	}
-	if after.Revision < d.oldest || after.Revision > d.revision || after.Era != d.era {
+	if after.Revision < d.compactedTo || after.Revision > d.revision || after.Era != d.era {
 		return nil, port.Moment{}, nil, port.ErrCompacted
 	}
-	if d.faults.Deaf && !over {
+	if d.faults.Deaf && !expired {
 		return nil, after, d.changed, nil
 	}
 	var found []port.Entry
@@ -193,61 +195,61 @@
 func (d *Directory) Put(_ context.Context, key string, value []byte) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.begin(); err != nil {
+	if err := d.checkAvailable(); err != nil {
 		return err
 	}
 	d.revision++
 	e := port.Entry{Key: key, Value: value, Version: d.revision}
 	d.entries[key] = e
-	d.record(e)
-	return d.answer()
+	d.appendHistory(e)
+	return d.writeResult()
 }
 
 // Remove implements port.Directory.
 func (d *Directory) Remove(_ context.Context, key string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.begin(); err != nil {
+	if err := d.checkAvailable(); err != nil {
 		return err
 	}
 	d.remove(key)
-	return d.answer()
+	return d.writeResult()
 }
 
-// begin fails while the directory is out. The lock is held.
-func (d *Directory) begin() error {
+// checkAvailable returns an error while the fault Out is set. The lock must be held.
+func (d *Directory) checkAvailable() error {
 	if d.faults.Out {
 		return port.ErrUnavailable
 	}
 	return nil
 }
 
-// answer is the result of a write that was done.
-func (d *Directory) answer() error {
+// writeResult returns the error of a write that took effect. The lock must be held.
+func (d *Directory) writeResult() error {
 	if d.faults.LoseWrites {
 		return port.ErrUnknown
 	}
 	return nil
 }
 
-// remove deletes a key, with the lock held.
+// remove deletes a key. The lock must be held.
 func (d *Directory) remove(key string) {
 	if _, ok := d.entries[key]; !ok {
 		return
 	}
 	d.revision++
 	delete(d.entries, key)
-	d.record(port.Entry{Key: key, Version: d.revision, Removed: true})
+	d.appendHistory(port.Entry{Key: key, Version: d.revision, Removed: true})
 }
 
-// record adds to the history and wakes watches, with the lock held.
-func (d *Directory) record(e port.Entry) {
+// appendHistory appends to the history and wakes all watches. The lock must be held.
+func (d *Directory) appendHistory(e port.Entry) {
 	d.history = append(d.history, e)
-	d.wake()
+	d.notifyWatchers()
 }
 
-// wake lets all watches look again, with the lock held.
-func (d *Directory) wake() {
+// notifyWatchers makes all watches check for changes. The lock must be held.
+func (d *Directory) notifyWatchers() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
--- a/memory/list.go
+++ b/memory/list.go
@@ -9,12 +9,12 @@
 	"eiderfold/port"
 )
 
-// List is a port.InstanceList in memory. See NewList.
+// List is a port.InstanceList in memory. Use NewList; the zero value is not usable.
 type List struct {
 	mu       sync.Mutex
-	services map[string]map[string]port.Instance
-	index    uint64
-	changed  chan struct{}
+	services map[string]map[string]port.Instance // By service and instance name.
+	index    uint64                              // Of the last change.
+	changed  chan struct{}                       // Closed and replaced with every change.
 }
 
 // NewList returns an empty list.
@@ -22,7 +22,7 @@
 	return &List{services: map[string]map[string]port.Instance{}, index: 1, changed: make(chan struct{})}
 }
 
-// Put adds an instance to a service, or changes it.
+// Put adds or replaces an instance of a service.
 func (l *List) Put(service string, i port.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,15 +30,15 @@
 		l.services[service] = map[string]port.Instance{}
 	}
 	l.services[service][i.Name] = i
-	l.bump()
+	l.notifyWatchers()
 }
 
-// Remove takes an instance off a service.
+// Remove removes an instance from a service.
 func (l *List) Remove(service, name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.services[service], name)
-	l.bump()
+	l.notifyWatchers()
 }
 
 // Find returns an instance and the service it belongs to.
@@ -61,21 +61,22 @@
 		for _, i := range l.services[service] {
 			found = append(found, i)
 		}
-		newest, wake := l.index, l.changed
+		newest, changed := l.index, l.changed
 		l.mu.Unlock()
 		slices.SortFunc(found, func(a, b port.Instance) int { return strings.Compare(a.Name, b.Name) })
 		if newest > index {
 			return found, newest, nil
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-ctx.Done():
 			return found, newest, nil
 		}
 	}
 }
 
-func (l *List) bump() {
+// notifyWatchers increments the index and wakes waiting calls. The lock must be held.
+func (l *List) notifyWatchers() {
 	l.index++
 	close(l.changed)
 	l.changed = make(chan struct{})
--- a/memory/store.go
+++ b/memory/store.go
@@ -1,5 +1,5 @@
-// Package memory keeps a store and an instance list in the process. It serves
-// "eiderfold dev" and tests; nothing of it outlives the process.
+// Package memory implements a store, a directory and an instance list in memory, for
+// "eiderfold dev" and tests. Nothing is persisted.
 //
 // # Usage
 //
@@ -16,12 +16,12 @@
 	"eiderfold/port"
 )
 
-// Store is a port.Store in memory. Its zero value is not usable; see NewStore.
+// Store is a port.Store in memory. Use NewStore; the zero value is not usable.
 type Store struct {
 	mu      sync.Mutex
 	entries map[string]port.Entry
-	index   uint64
-	changed chan struct{}
+	index   uint64        // Of the last write.
+	changed chan struct{} // Closed and replaced with every write.
 }
 
 // NewStore returns an empty store.
@@ -44,7 +44,7 @@
 func (s *Store) List(_ context.Context, prefix string) ([]port.Entry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found, _ := s.below(prefix)
+	found, _ := s.withPrefix(prefix)
 	return found, nil
 }
 
@@ -81,22 +81,23 @@
 func (s *Store) Watch(ctx context.Context, prefix string, index uint64) ([]port.Entry, uint64, error) {
 	for {
 		s.mu.Lock()
-		found, newest := s.below(prefix)
-		wake := s.changed
+		found, newest := s.withPrefix(prefix)
+		changed := s.changed
 		s.mu.Unlock()
 		if newest > index {
 			return found, newest, nil
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-ctx.Done():
 			return found, max(newest, index), nil
 		}
 	}
 }
 
-// below returns the entries under prefix in key order, and the newest version.
-func (s *Store) below(prefix string) ([]port.Entry, uint64) {
+// withPrefix returns the entries below a prefix in key order, and their highest version.
+// The lock must be held.
+func (s *Store) withPrefix(prefix string) ([]port.Entry, uint64) {
 	var found []port.Entry
 	newest := uint64(1)
 	for k, e := range s.entries {
