--- a/consul/consul.go
+++ b/consul/consul.go
@@ -1,14 +1,14 @@
-// Package consul reaches the platform's store and instance list over the
-// published HTTP API of Consul: KV with check-and-set, blocking queries, and the
-// health endpoint of a service.
+// Package consul implements the store and the instance list with the HTTP API of
+// Consul: KV with check-and-set, blocking queries, and the health endpoint of a
+// service.
 //
 // # Usage
 //
 //	c := consul.New("http://127.0.0.1:8500", consul.WithRate(5, 10))
 //	entries, index, err := c.Watch(ctx, "eiderfold/config/montevideo/", 0)
 //
-// A client limits its own rate, so that no failure of ours can use up what the
-// platform's service bears in all.
+// A client limits its own rate, so that a fault in a node cannot exhaust the capacity
+// of the platform's Consul.
 package consul
 
 import (
@@ -29,16 +29,15 @@
 )
 
 const (
-	callTimeout  = 3 * time.Second
-	watchMargin  = 2 * time.Second
-	maxAnswer    = 64 << 20
-	defaultRate  = 20
-	defaultBurst = 40
-	indexHeader  = "X-Consul-Index"
+	callTimeout           = 3 * time.Second
+	watchMargin           = 2 * time.Second
+	maxResponseBytes      = 64 << 20
+	defaultCallsPerSecond = 20
+	defaultBurst          = 40
+	indexHeader           = "X-Consul-Index"
 )
 
-// Client is a port.Store and a port.InstanceList. It is safe for several
-// goroutines.
+// Client is a port.Store and a port.InstanceList. It is safe for concurrent use.
 type Client struct {
 	base    string
 	token   string
@@ -46,15 +45,15 @@
 	limiter *rate.Limiter
 }
 
-// Option changes a Client at its making.
+// Option configures a new Client.
 type Option func(*Client)
 
-// WithRate bounds the calls per second and the burst.
+// WithRate limits the calls per second and their burst.
 func WithRate(perSecond float64, burst int) Option {
 	return func(c *Client) { c.limiter = rate.NewLimiter(rate.Limit(perSecond), burst) }
 }
 
-// WithToken sends an access token of the platform with each call.
+// WithToken sets the access token sent with each call.
 func WithToken(token string) Option {
 	return func(c *Client) { c.token = token }
 }
@@ -64,7 +63,7 @@
 	c := &Client{
 		base:    strings.TrimRight(base, "/"),
 		http:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}},
-		limiter: rate.NewLimiter(defaultRate, defaultBurst),
+		limiter: rate.NewLimiter(defaultCallsPerSecond, defaultBurst),
 	}
 	for _, o := range options {
 		o(c)
@@ -72,15 +71,15 @@
 	return c
 }
 
-// kvPair is Consul's JSON of one key; the value comes in base64.
+// kvPair is a key in Consul's JSON format, in which the value is encoded in base64.
 type kvPair struct {
 	Key         string
 	Value       []byte
 	ModifyIndex uint64
 }
 
-// Get implements port.Store. It asks for a consistent read, because a stale one
-// would make every compare-and-swap after it a conflict.
+// Get implements port.Store with a consistent read, because after a stale one every
+// compare-and-swap would conflict.
 func (c *Client) Get(ctx context.Context, key string) (port.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -129,12 +128,12 @@
 
 // Watch implements port.Store with a blocking query.
 func (c *Client) Watch(ctx context.Context, prefix string, index uint64) ([]port.Entry, uint64, error) {
-	query := waiting(ctx, index)
+	query := blockingQuery(ctx, index)
 	query.Set("recurse", "")
 	return c.read(ctx, prefix, query)
 }
 
-// healthEntry is the part of Consul's health answer that we read.
+// healthEntry is the part of Consul's health response that is decoded.
 type healthEntry struct {
 	Node struct {
 		Datacenter string
@@ -148,10 +147,10 @@
 }
 
 // Instances implements port.InstanceList with the health endpoint. The meta keys
-// "state", "data_centre" and "generation" carry what Consul has no field for.
+// "state", "data_centre" and "generation" hold what Consul has no field for.
 func (c *Client) Instances(ctx context.Context, service string, index uint64) ([]port.Instance, uint64, error) {
 	var rows []healthEntry
-	newest, err := c.call(ctx, http.MethodGet, "/v1/health/service/"+url.PathEscape(service), waiting(ctx, index), nil, &rows)
+	newest, err := c.call(ctx, http.MethodGet, "/v1/health/service/"+url.PathEscape(service), blockingQuery(ctx, index), nil, &rows)
 	if err != nil {
 		return nil, index, err
 	}
@@ -179,8 +178,9 @@
 	return i
 }
 
-// waiting turns the deadline of ctx into Consul's index and wait parameters.
-func waiting(ctx context.Context, index uint64) url.Values {
+// blockingQuery returns Consul's index and wait parameters. The wait ends watchMargin
+// before the deadline of ctx, but lasts at least a second. Index 0 does not block.
+func blockingQuery(ctx context.Context, index uint64) url.Values {
 	query := url.Values{}
 	if index == 0 {
 		return query
@@ -209,11 +209,12 @@
 	return entries, index, nil
 }
 
-// call makes one HTTP call. A write whose answer is lost gives port.ErrUnknown,
-// because it may have taken effect.
-func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte, into any) (uint64, error) {
+// call makes an HTTP call, decodes the response into out and returns Consul's index. A
+// write without a valid response returns port.ErrUnknown, because it may have taken
+// effect.
+func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte, out any) (uint64, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
-		return 0, errors.Wrap(port.ErrUnavailable, "our own rate limit")
+		return 0, errors.Wrap(port.ErrUnavailable, "client rate limit")
 	}
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path+"?"+query.Encode(), bytes.NewReader(body))
 	if err != nil {
@@ -222,27 +223,28 @@
 	if c.token != "" {
 		request.Header.Set("X-Consul-Token", c.token)
 	}
-	answer, err := c.http.Do(request)
+	response, err := c.http.Do(request)
 	if err != nil {
-		return 0, errors.Wrap(lost(method), err.Error())
+		return 0, errors.Wrap(callError(method), err.Error())
 	}
-	defer answer.Body.Close() //nolint:errcheck // Only read from.
-	index, _ := strconv.ParseUint(answer.Header.Get(indexHeader), 10, 64)
+	defer response.Body.Close() //nolint:errcheck // Only read from.
+	index, _ := strconv.ParseUint(response.Header.Get(indexHeader), 10, 64)
 	switch {
-	case answer.StatusCode == http.StatusNotFound:
+	case response.StatusCode == http.StatusNotFound:
 		return index, port.ErrMissing
-	case answer.StatusCode == http.StatusTooManyRequests:
-		return index, errors.Wrap(port.ErrUnavailable, "the platform limits our rate")
-	case answer.StatusCode != http.StatusOK:
-		return index, errors.Wrapf(lost(method), "status %d", answer.StatusCode)
+	case response.StatusCode == http.StatusTooManyRequests:
+		return index, errors.Wrap(port.ErrUnavailable, "rate limited by the platform")
+	case response.StatusCode != http.StatusOK:
+		return index, errors.Wrapf(callError(method), "status %d", response.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(answer.Body, maxAnswer)).Decode(into); err != nil {
-		return index, errors.Wrap(lost(method), err.Error())
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(out); err != nil {
+		return index, errors.Wrap(callError(method), err.Error())
 	}
 	return index, nil
 }
 
-func lost(method string) error {
+// callError returns the error for a call that may have been sent.
+func callError(method string) error {
 	if method == http.MethodPut {
 		return port.ErrUnknown
 	}
