--- a/bench/soak/caller.go
+++ b/bench/soak/caller.go
@@ -18,28 +18,29 @@
 )
 
 const (
-	// callPause is the mean pause of a caller between two requests.
+	// callPause is the mean pause between two requests of a caller.
 	callPause = 40 * time.Millisecond
-	// callTimeout is how long a caller waits: over the deadline it sends, so that a
-	// node has time for its own answer.
+	// callTimeout is the caller's client timeout. It exceeds callDeadline, so that a node
+	// has time to respond at the deadline.
 	callTimeout = 6 * time.Second
-	// callDeadline is the deadline that callers send.
+	// callDeadline is the deadline that callers send in Deadline-Ms.
 	callDeadline = 4 * time.Second
-	// harmTime is how long after a kill or a pause a broken connection is excused.
-	harmTime = 6 * time.Second
-	// orderOf is how many requests there are for one that may run only once.
-	orderOf = 3
+	// excuseTime is how long after a kill, a pause or an unexpected exit of the node a
+	// missing response is no violation.
+	excuseTime = 6 * time.Second
+	// One request in orderEvery is an order, which may run only once.
+	orderEvery = 3
 )
 
-// call sends requests to one node until ctx ends, over connections that it keeps.
-func (s *soak) call(ctx context.Context, n *node, caller int) {
+// runCaller sends requests to one node over persistent connections until ctx ends.
+func (s *soak) runCaller(ctx context.Context, n *node, caller int) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 2, DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: callTimeout}
 	for i := 0; ctx.Err() == nil; i++ {
 		attempt := fmt.Sprintf("s%d-c%d-%d", s.options.Seed, caller, i)
 		body := ""
-		if i%orderOf == 0 {
+		if i%orderEvery == 0 {
 			body = s.orderBody(attempt, caller)
 		}
 		s.request(ctx, client, n, attempt, body, s.keyOf(caller+i))
@@ -47,7 +48,7 @@
 	}
 }
 
-// keyOf is the key that a caller's request shows, "" in a run without accounts.
+// keyOf returns the key that request i sends, "" in a run without accounts.
 func (s *soak) keyOf(i int) string {
 	if !s.options.Accounts {
 		return ""
@@ -55,76 +56,77 @@
 	return keyOf(i)
 }
 
-// request sends one request and judges what came of it: an order, if it has a body.
+// request sends one request and checks the response. A request with a body is an order.
 func (s *soak) request(ctx context.Context, client *http.Client, n *node, attempt, body, key string) {
 	method, path, once := http.MethodGet, "/look/"+attempt, body != ""
 	if once {
 		method, path = http.MethodPost, "/order/"+attempt
 	}
 	var content io.Reader = strings.NewReader(body)
-	if len(body) > pacedFrom {
+	if len(body) > slowBodyMin {
 		content = newSlowBody(body)
 	}
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+n.callers+path, content)
 	if err != nil {
-		s.ledger.violate("harness: %v", err)
+		s.checker.violate("harness: %v", err)
 		return
 	}
-	way := &connectionStory{begun: time.Now()}
-	r = r.WithContext(httptrace.WithClientTrace(ctx, way.trace()))
+	trace := &connTrace{start: time.Now()}
+	r = r.WithContext(httptrace.WithClientTrace(ctx, trace.clientTrace()))
 	r.Host = "soak.example"
 	r.Header.Set("Attempt-Id", attempt)
 	r.Header.Set("Deadline-Ms", strconv.FormatInt(callDeadline.Milliseconds(), 10))
 	if key != "" {
 		r.Header.Set("Authorization", "Token "+key)
 	}
-	s.ledger.send(attempt, method+" "+path+" "+body, once, key)
-	if countsAsServed(key) {
+	s.checker.recordSent(attempt, method+" "+path+" "+body, once, key)
+	if mustBeServed(key) {
 		s.asked.Add(1)
 	}
-	life := n.lives.Load()
-	answer, err := client.Do(r)
+	starts := n.starts.Load()
+	resp, err := client.Do(r)
 	if err != nil {
-		s.ledger.noteEnd(n.name + " without an answer")
-		s.unanswered(ctx, n, attempt, life, way, errors.Wrap(err, way.String()))
+		s.checker.countOutcome(n.name + " without an answer")
+		s.checkUnanswered(ctx, n, attempt, starts, trace, errors.Wrap(err, trace.String()))
 		return
 	}
-	s.ledger.noteEnd(fmt.Sprint(n.name, " ", answer.StatusCode, " ", answer.Header.Get(result.Header)))
-	defer answer.Body.Close() //nolint:errcheck // Nothing is written to it.
-	text, err := io.ReadAll(answer.Body)
-	s.check(n, attempt, key, answer.StatusCode, string(text), err)
+	s.checker.countOutcome(fmt.Sprint(n.name, " ", resp.StatusCode, " ", resp.Header.Get(result.Header)))
+	defer resp.Body.Close() //nolint:errcheck // The body is only read.
+	text, err := io.ReadAll(resp.Body)
+	s.check(n, attempt, key, resp.StatusCode, string(text), err)
 }
 
-// check compares an answer with what belongs to the attempt.
+// check compares a response with the one expected for the attempt.
 func (s *soak) check(n *node, attempt, key string, status int, body string, err error) {
 	switch {
 	case status == http.StatusOK && err == nil && body == expectedBody(attempt):
-		if countsAsServed(key) {
+		if mustBeServed(key) {
 			s.served.Add(1)
 		}
 	case status == http.StatusOK && err == nil:
-		s.ledger.violate("MIXED: %s got %q", attempt, body[:min(len(body), 60)])
+		s.checker.violate("MIXED: %s got %q", attempt, body[:min(len(body), 60)])
 	case status == http.StatusNotFound || status == http.StatusUnauthorized && key != keyUnknown:
-		s.ledger.violate("DENIED: %s by %s", attempt, n.name)
+		s.checker.violate("DENIED: %s by %s", attempt, n.name)
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-		s.ledger.deny(attempt)
+		s.checker.recordRefused(attempt)
 	}
 }
 
-// unanswered looks at a connection that ended without an answer. A planned stop is
-// no excuse if an upstream has run the request.
-func (s *soak) unanswered(ctx context.Context, n *node, attempt string, life int64, way *connectionStory, err error) {
+// checkUnanswered checks a request that got no response. It reports a timeout, and any
+// other failure if an upstream ran the request, unless the node was killed, paused or
+// exited unexpectedly within excuseTime. A planned stop excuses neither.
+func (s *soak) checkUnanswered(ctx context.Context, n *node, attempt string, starts int64, trace *connTrace, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	harmed := time.Since(time.Unix(0, n.harmed.Load())) < harmTime
-	var late net.Error
-	if errors.As(err, &late) && late.Timeout() && !harmed {
-		s.ledger.violate("LOST: %s by %s, life %d: no answer in %v (connected: %t, begun while the listener may have been closing: %t; kernel since the start: %s): %v",
-			attempt, n.name, life, time.Since(way.begun).Round(time.Millisecond), way.connected(), n.stops.met(way.begun), s.kernel.since(), err)
+	excused := time.Since(time.Unix(0, n.disruptedAt.Load())) < excuseTime
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() && !excused {
+		s.checker.violate("LOST: %s by %s, life %d: no answer in %v (connected: %t, begun while the listener may have been closing: %t; kernel since the start: %s): %v",
+			attempt, n.name, starts, time.Since(trace.start).Round(time.Millisecond), trace.connected(), n.stops.overlaps(trace.start), s.kernel.since(), err)
 		return
 	}
-	if !harmed && s.ledger.runs(attempt) > 0 {
-		s.ledger.violate("LOST: %s by %s, life %d: %v", attempt, n.name, life, err)
+	if !excused && s.checker.runs(attempt) > 0 {
+		s.checker.violate("LOST: %s by %s, life %d: %v", attempt, n.name, starts, err)
 	}
 }
--- a/bench/soak/cost_test.go
+++ b/bench/soak/cost_test.go
@@ -17,33 +17,33 @@
 	"eiderfold/bench/standin"
 )
 
-// costCallers send requests at a time, over connections that they keep.
+// costCallers is the number of concurrent callers, each with a persistent connection.
 const costCallers = 4
 
-// BenchmarkNode measures the processor time that a request costs in a node's
-// process, through the gate beside it.
+// BenchmarkNode measures the CPU time of a node's process for each request that it serves
+// through its own gate.
 func BenchmarkNode(b *testing.B) {
 	dir := b.TempDir()
 	program := build(b, dir, "eiderfold/cmd/eiderfold")
-	s := &soak{options: Options{Program: program, Dir: dir, Seed: 1, Nodes: 1}, store: standin.NewMetadata(), cutter: standin.NewCutter(), ledger: newLedger()}
+	s := &soak{options: Options{Program: program, Dir: dir, Seed: 1, Nodes: 1}, store: standin.NewMetadata(), cutter: standin.NewCutter(), checker: newChecker()}
 	require.NoError(b, s.start(b.Context()))
-	defer s.end()
+	defer s.killNodes()
 	n := s.nodes[0]
-	require.Eventually(b, func() bool { return ask(http.DefaultClient, n.callers, "warm") == http.StatusOK }, 10*time.Second, 20*time.Millisecond)
-	cost(b, n.process.PID(), n.callers)
+	require.Eventually(b, func() bool { return get(http.DefaultClient, n.callers, "warm") == http.StatusOK }, 10*time.Second, 20*time.Millisecond)
+	measureCPU(b, n.process.PID(), n.callers)
 }
 
-// BenchmarkPassthrough is the same for the smallest proxy that net/http allows.
+// BenchmarkPassthrough measures the same for a minimal net/http proxy.
 func BenchmarkPassthrough(b *testing.B) {
 	dir := b.TempDir()
 	program := build(b, dir, "eiderfold/bench/cmd/passthrough")
-	u, err := startUpstream(b.Context(), "127.0.0.1", "127.0.0.1:1", newLedger())
+	u, err := startUpstream(b.Context(), "127.0.0.1", "127.0.0.1:1", newChecker())
 	require.NoError(b, err)
 	p, address, err := fleet.StartStandin(b.Context(), "passthrough", dir, program, u.address)
 	require.NoError(b, err)
 	defer p.Kill()
-	u.id = "" // Nobody tells the passthrough whom to expect.
-	cost(b, p.PID(), address)
+	u.id = "" // The passthrough sends no Expect-Instance header.
+	measureCPU(b, p.PID(), address)
 }
 
 func build(b *testing.B, dir, source string) string {
@@ -54,7 +54,7 @@
 	return program
 }
 
-func cost(b *testing.B, pid int, address string) {
+func measureCPU(b *testing.B, pid int, address string) {
 	b.Helper()
 	before, _ := fleet.Usage(pid)
 	b.ResetTimer()
@@ -64,7 +64,7 @@
 			client := &http.Client{Transport: &http.Transport{}}
 			defer client.CloseIdleConnections()
 			for i := c; i < b.N; i += costCallers {
-				ask(client, address, fmt.Sprintf("b%d-%d", c, i))
+				get(client, address, fmt.Sprintf("b%d-%d", c, i))
 			}
 		})
 	}
@@ -73,7 +73,7 @@
 	b.ReportMetric((after-before)*1e6/float64(b.N), "cpu-us/op")
 }
 
-func ask(client *http.Client, address, attempt string) int {
+func get(client *http.Client, address, attempt string) int {
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+"/look/"+attempt, nil)
 	if err != nil {
 		return 0
@@ -81,11 +81,11 @@
 	r.Host = "soak.example"
 	r.Header.Set("Attempt-Id", attempt)
 	r.Header.Set("Deadline-Ms", "3000")
-	answer, err := client.Do(r)
+	resp, err := client.Do(r)
 	if err != nil {
 		return 0
 	}
-	defer answer.Body.Close() //nolint:errcheck // Nothing is written to it.
-	_, _ = io.Copy(io.Discard, answer.Body)
-	return answer.StatusCode
+	defer resp.Body.Close() //nolint:errcheck // The body is only read.
+	_, _ = io.Copy(io.Discard, resp.Body)
+	return resp.StatusCode
 }
--- a/bench/soak/evacuation.go
+++ b/bench/soak/evacuation.go
@@ -8,70 +8,70 @@
 )
 
 const (
-	// evacuateTime is how long after it was asked for an evacuation work may still come.
-	evacuateTime = 3 * time.Second
-	// evacuationMost is how long a data centre is evacuated at the most.
-	evacuationMost = 8 * time.Second
-	// copyMost is how old the copy is at the most from which the store is restored.
-	copyMost = 3 * time.Second
+	// evacuationGrace is how long after the start of an evacuation requests may still arrive.
+	evacuationGrace = 3 * time.Second
+	// maxEvacuation is the longest duration of an evacuation.
+	maxEvacuation = 8 * time.Second
+	// maxCopyAge is the largest age of a copy from which the store is restored.
+	maxCopyAge = 3 * time.Second
 )
 
-// evacuations are the data centres that are to get nothing, one at a time: the other one
-// serves.
+// evacuations holds the data centres under evacuation. At most one is evacuated at a time,
+// so that the other one serves.
 type evacuations struct {
-	one   sync.Mutex // Held while a data centre is evacuated.
-	mu    sync.Mutex
-	since map[string]time.Time
+	serial sync.Mutex // Held for the duration of an evacuation.
+	mu     sync.Mutex
+	start  map[string]time.Time
 }
 
-// of returns since when a data centre is to get nothing; zero if it may.
-func (e *evacuations) of(dataCentre string) time.Time {
+// since returns when the evacuation of a data centre began; the zero time if there is none.
+func (e *evacuations) since(dataCentre string) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.since[dataCentre]
+	return e.start[dataCentre]
 }
 
 func (e *evacuations) set(dataCentre string, at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if at.IsZero() {
-		delete(e.since, dataCentre)
+		delete(e.start, dataCentre)
 		return
 	}
-	e.since[dataCentre] = at
+	e.start[dataCentre] = at
 }
 
 func evacuationKey(dataCentre string) string { return "op/evacuate/" + dataCentre }
 
-// evacuate asks that a node's data centre gets nothing for a time.
+// evacuate evacuates a node's data centre for a random time.
 func (s *soak) evacuate(ctx context.Context, n *node) string {
-	s.evacuations.one.Lock()
-	defer s.evacuations.one.Unlock()
+	s.evacuations.serial.Lock()
+	defer s.evacuations.serial.Unlock()
 	key, store := evacuationKey(n.dataCentre), s.store.Directory()
 	s.mu.Lock()
 	err := store.Put(ctx, key, []byte("{}"))
 	s.evacuations.set(n.dataCentre, time.Now())
 	s.mu.Unlock()
 	if err != nil {
-		return "no evacuation: " + err.Error()
+		return "evacuation not set: " + err.Error()
 	}
-	time.Sleep(s.draw(evacuationMost))
+	time.Sleep(s.randomDuration(maxEvacuation))
 	s.mu.Lock()
 	s.evacuations.set(n.dataCentre, time.Time{})
 	err = store.Remove(ctx, key)
 	s.mu.Unlock()
 	if err != nil {
-		return "evacuation not ended: " + err.Error()
+		return "evacuation not removed: " + err.Error()
 	}
 	return "evacuated " + n.dataCentre
 }
 
-// restoreStore brings the store back from a copy of some time ago. Operators write again
-// what it lacks.
+// restoreStore replaces the store's content by an older copy and then writes the current
+// configuration and evacuations again, as operators do after a restore.
 func (s *soak) restoreStore(ctx context.Context, _ *node) string {
 	store := s.store.Directory()
 	copied := store.Copy()
-	age := s.draw(copyMost)
+	age := s.randomDuration(maxCopyAge)
 	time.Sleep(age)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	for i := range dataCentres {
 		name := dataCentreName(i)
 		var err error
-		if s.evacuations.of(name).IsZero() {
+		if s.evacuations.since(name).IsZero() {
 			err = store.Remove(ctx, evacuationKey(name))
 		} else {
 			err = store.Put(ctx, evacuationKey(name), []byte("{}"))
@@ -94,10 +94,11 @@
 	return fmt.Sprintf("store restored from a copy of %v ago", age)
 }
 
-// checkEvacuated looks whether an upstream gets work though its data centre is evacuated.
+// checkEvacuated reports a request that arrives later than evacuationGrace after its data
+// centre was evacuated, unless the node beside the upstream is not connected.
 func (u *upstream) checkEvacuated(attempt string) {
-	at := u.evacuated()
-	if !at.IsZero() && time.Since(at) > evacuateTime && u.inTouch() {
-		u.ledger.violate("EVAC: %s got %s %v after its data centre was to get nothing", u.address, attempt, time.Since(at))
+	at := u.evacuatedSince()
+	if !at.IsZero() && time.Since(at) > evacuationGrace && u.nodeConnected() {
+		u.checker.violate("EVAC: %s got %s %v after its data centre was to get nothing", u.address, attempt, time.Since(at))
 	}
 }
--- a/bench/soak/faults.go
+++ b/bench/soak/faults.go
@@ -10,60 +10,60 @@
 	"eiderfold/bench/standin"
 )
 
-// scope says for whom a fault breaks contact.
+// scope is the set of nodes whose connectivity a fault affects.
 type scope uint8
 
 const (
-	nobody scope = iota
-	struck
-	everybody
+	noNode scope = iota
+	oneNode
+	allNodes
 )
 
-// kind is a fault that may be drawn.
-type kind struct {
-	play  func(ctx context.Context, n *node) string
-	scope scope
+// faultKind is a fault that injectFaults may select.
+type faultKind struct {
+	inject func(ctx context.Context, n *node) string
+	scope  scope
 }
 
-// kinds are the faults of a run.
-func (s *soak) kinds() []kind {
-	kinds := []kind{
-		{s.stopNode, struck}, {s.killNode, struck}, {s.pauseNode, struck}, {s.holdLinks, struck}, {s.cutOneWay, struck},
-		{s.resetLinks, struck}, {s.delayLinks, struck}, {s.troubleStore, everybody}, {s.compactStore, everybody},
-		{s.leaveUpstream, nobody}, {s.breakUpstream, nobody}, {s.changeConfiguration, nobody}, {s.reloadNode, nobody},
+// faultKinds returns the faults of a run. A repeated kind is selected more often.
+func (s *soak) faultKinds() []faultKind {
+	faultKinds := []faultKind{
+		{s.stopNode, oneNode}, {s.killNode, oneNode}, {s.pauseNode, oneNode}, {s.holdLinks, oneNode}, {s.cutOneWay, oneNode},
+		{s.resetLinks, oneNode}, {s.delayLinks, oneNode}, {s.disruptStore, allNodes}, {s.compactStore, allNodes},
+		{s.drainUpstream, noNode}, {s.failUpstream, noNode}, {s.changeConfiguration, noNode}, {s.reloadNode, noNode},
 	}
 	if s.options.Ending {
-		kinds = append(kinds, kind{s.killAll, everybody})
+		faultKinds = append(faultKinds, faultKind{s.killAll, allNodes})
 	}
 	if s.options.Operator {
-		kinds = append(kinds, kind{s.evacuate, nobody}, kind{s.evacuate, nobody}, kind{s.restoreStore, everybody})
+		faultKinds = append(faultKinds, faultKind{s.evacuate, noNode}, faultKind{s.evacuate, noNode}, faultKind{s.restoreStore, allNodes})
 	}
-	return kinds
+	return faultKinds
 }
 
-// injectFaults draws one fault after the other; they overlap.
+// injectFaults starts random faults, which may overlap, and waits until all have ended.
 func (s *soak) injectFaults(ctx context.Context) {
-	kinds := s.kinds()
+	faultKinds := s.faultKinds()
 	var running sync.WaitGroup
 	for until := time.Now().Add(s.options.For); time.Now().Before(until) && ctx.Err() == nil; {
 		n := s.nodes[s.random.IntN(len(s.nodes))]
-		k := kinds[s.random.IntN(len(kinds))]
+		k := faultKinds[s.random.IntN(len(faultKinds))]
 		pause := time.Duration(200+s.random.IntN(600)) * time.Millisecond
 		running.Go(func() {
-			defer s.strike(k.scope, n)()
-			s.note(k.play(ctx, n))
+			defer s.markAffected(k.scope, n)()
+			s.recordFault(k.inject(ctx, n))
 		})
 		time.Sleep(pause)
 	}
 	running.Wait()
 }
 
-// strike takes note of who loses contact, until what it returns is called.
-func (s *soak) strike(by scope, n *node) (end func()) {
+// markAffected records a fault at the nodes in its scope until end is called.
+func (s *soak) markAffected(affected scope, n *node) (end func()) {
 	var ends []func()
-	for _, o := range s.nodes {
-		if by == everybody || by == struck && o == n {
-			ends = append(ends, o.contact.begin())
+	for _, other := range s.nodes {
+		if affected == allNodes || affected == oneNode && other == n {
+			ends = append(ends, other.connectivity.beginFault())
 		}
 	}
 	return func() {
@@ -73,17 +73,17 @@
 	}
 }
 
-func (s *soak) note(fault string) {
+func (s *soak) recordFault(fault string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, time.Now().Format("05.000 ")+fault)
 }
 
-// draw returns a time between a fifth and all of most.
-func (s *soak) draw(most time.Duration) time.Duration {
+// randomDuration returns a duration between a fifth of limit and limit.
+func (s *soak) randomDuration(limit time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return most/5 + time.Duration(s.random.Int64N(int64(most*4/5)))
+	return limit/5 + time.Duration(s.random.Int64N(int64(limit*4/5)))
 }
 
 func (s *soak) stopNode(_ context.Context, n *node) string {
@@ -96,7 +96,7 @@
 	return "SIGKILL " + n.name
 }
 
-// killAll kills the processes of all nodes at one moment: nobody remembers anything.
+// killAll kills the processes of all nodes at once, so that all state in memory is lost.
 func (s *soak) killAll(context.Context, *node) string {
 	var killed sync.WaitGroup
 	for _, n := range s.nodes {
@@ -107,7 +107,7 @@
 }
 
 func (s *soak) pauseNode(_ context.Context, n *node) string {
-	d := s.draw(3 * time.Second)
+	d := s.randomDuration(3 * time.Second)
 	n.pause(d)
 	return fmt.Sprintf("paused %s for %v", n.name, d)
 }
@@ -118,27 +118,27 @@
 }
 
 func (s *soak) holdLinks(_ context.Context, n *node) string {
-	s.bend(standin.Rule{To: n.name, CutOut: true, CutIn: true, Hold: true}, s.draw(4*time.Second))
+	s.applyRule(standin.Rule{To: n.name, CutOut: true, CutIn: true, Hold: true}, s.randomDuration(4*time.Second))
 	return "held links to " + n.name
 }
 
 func (s *soak) cutOneWay(_ context.Context, n *node) string {
-	s.bend(standin.Rule{From: n.ip, CutIn: true, Hold: true}, s.draw(4*time.Second))
+	s.applyRule(standin.Rule{From: n.ip, CutIn: true, Hold: true}, s.randomDuration(4*time.Second))
 	return "cut links one way from " + n.name
 }
 
 func (s *soak) resetLinks(_ context.Context, n *node) string {
-	s.bend(standin.Rule{To: n.name, Reset: true}, s.draw(time.Second))
+	s.applyRule(standin.Rule{To: n.name, Reset: true}, s.randomDuration(time.Second))
 	return "reset links to " + n.name
 }
 
 func (s *soak) delayLinks(_ context.Context, n *node) string {
-	s.bend(standin.Rule{To: n.name, Delay: 80 * time.Millisecond}, s.draw(4*time.Second))
+	s.applyRule(standin.Rule{To: n.name, Delay: 80 * time.Millisecond}, s.randomDuration(4*time.Second))
 	return "delayed links to " + n.name
 }
 
-// bend adds a rule for a time.
-func (s *soak) bend(r standin.Rule, d time.Duration) {
+// applyRule applies a rule to the links for d.
+func (s *soak) applyRule(r standin.Rule, d time.Duration) {
 	s.mu.Lock()
 	s.rules = append(s.rules, r)
 	s.cutter.SetRules(append([]standin.Rule(nil), s.rules...))
@@ -146,8 +146,8 @@
 	time.Sleep(d)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, o := range s.rules {
-		if o == r {
+	for i, other := range s.rules {
+		if other == r {
 			s.rules = append(s.rules[:i:i], s.rules[i+1:]...)
 			break
 		}
@@ -155,8 +155,8 @@
 	s.cutter.SetRules(append([]standin.Rule(nil), s.rules...))
 }
 
-func (s *soak) troubleStore(_ context.Context, n *node) string {
-	d := s.draw(4 * time.Second)
+func (s *soak) disruptStore(_ context.Context, n *node) string {
+	d := s.randomDuration(4 * time.Second)
 	s.mu.Lock()
 	faults := []standin.MetadataFaults{{Busy: true}, {Silent: true}, {LoseWrites: true}, {Deaf: true}, {Delay: 300 * time.Millisecond}, {Refuse: []string{n.ip}}}
 	f := faults[s.random.IntN(len(faults))]
@@ -169,17 +169,17 @@
 
 func (s *soak) compactStore(context.Context, *node) string {
 	s.store.Directory().Compact()
-	return "history of the store gone"
+	return "compacted the history of the store"
 }
 
-func (s *soak) leaveUpstream(ctx context.Context, n *node) string {
-	n.upstream.leave(ctx)
-	return "upstream of " + n.name + " left and came back"
+func (s *soak) drainUpstream(ctx context.Context, n *node) string {
+	n.upstream.drain(ctx)
+	return "upstream of " + n.name + " drained and restarted"
 }
 
-func (s *soak) breakUpstream(_ context.Context, n *node) string {
+func (s *soak) failUpstream(_ context.Context, n *node) string {
 	n.upstream.failing.Store(true)
-	time.Sleep(s.draw(3 * time.Second))
+	time.Sleep(s.randomDuration(3 * time.Second))
 	n.upstream.failing.Store(false)
 	return "upstream of " + n.name + " reset its requests"
 }
@@ -188,13 +188,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.publish(ctx); err != nil {
-		return "no configuration: " + err.Error()
+		return "configuration not published: " + err.Error()
 	}
 	return fmt.Sprintf("configuration %d", s.version)
 }
 
-// heal ends every fault.
-func (s *soak) heal() {
+// clearFaults removes all faults of links and of the store.
+func (s *soak) clearFaults() {
 	s.mu.Lock()
 	s.rules = nil
 	s.cutter.SetRules(nil)
--- a/bench/soak/kernel.go
+++ b/bench/soak/kernel.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// watchedCounters are those of the kernel's that tell why a connection did not come up: what
-// listeners dropped, and dials that were sent again.
+// watchedCounters are the kernel counters that explain failed connections: drops by
+// listeners and retransmitted SYNs.
 var watchedCounters = []string{"ListenDrops", "ListenOverflows", "TCPSynRetrans", "TCPTimeWaitOverflow"}
 
-// kernelCounters are values of watchedCounters.
+// kernelCounters maps the names of watchedCounters to their values.
 type kernelCounters map[string]int64
 
-// readKernelCounters returns the counters as they are now; none where the system does not
-// have them.
+// readKernelCounters returns the current values, or nil if the system does not provide
+// them.
 func readKernelCounters() kernelCounters {
 	text, err := os.ReadFile("/proc/net/netstat")
 	if err != nil {
@@ -25,7 +25,8 @@
 	return parseKernelCounters(string(text))
 }
 
-// parseKernelCounters reads pairs of lines, the first of which names what the second holds.
+// parseKernelCounters parses the format of /proc/net/netstat: pairs of lines, the first
+// with the names and the second with the values.
 func parseKernelCounters(text string) kernelCounters {
 	out := kernelCounters{}
 	lines := strings.Split(text, "\n")
@@ -43,7 +44,7 @@
 	return out
 }
 
-// since tells by how much the counters have grown.
+// since describes how much each counter has grown.
 func (k kernelCounters) since() string {
 	now := readKernelCounters()
 	var out []string
--- a/bench/soak/node.go
+++ b/bench/soak/node.go
@@ -18,27 +18,28 @@
 )
 
 const (
-	// stopGrace is how long after SIGTERM a node may run.
+	// stopGrace is the setting stop.grace: how long a node may run after SIGTERM.
 	stopGrace = 4 * time.Second
-	// superviseEvery is how soon a process that ended by itself is started again.
-	superviseEvery = 100 * time.Millisecond
-	// dataCentres is over how many of them the nodes are spread, in turn.
+	// superviseInterval is how often a node's process is checked and restarted if it exited.
+	superviseInterval = 100 * time.Millisecond
+	// dataCentres is the number of data centres; nodes are assigned round-robin.
 	dataCentres = 2
-	// listeners is how many addresses a node listens on: callers, links, reports, ready.
-	listeners = 4
+	// listenersPerNode counts the addresses that a node listens on: callers, links,
+	// reports and ready.
+	listenersPerNode = 4
 )
 
-// node is one process, started again whenever it ends.
+// node runs one node process and restarts it whenever it exits.
 type node struct {
 	name, ip, program, dir, settings, callers string
 	dataCentre                                string
 	upstream                                  *upstream
-	mu                                        sync.Mutex // Held while the process changes.
+	mu                                        sync.Mutex // Guards process; held during stops, pauses and restarts.
 	process                                   *fleet.Process
-	lives                                     atomic.Int64 // How often it was started.
-	harmed                                    atomic.Int64 // UnixNano of the last kill or pause.
+	starts                                    atomic.Int64 // Number of starts of the process.
+	disruptedAt                               atomic.Int64 // Time of the last kill, pause or unexpected exit, in Unix nanoseconds.
 	stops                                     stops
-	contact                                   contact
+	connectivity                              connectivity
 }
 
 // newNode starts an upstream and the node beside it.
@@ -56,10 +57,10 @@
 	return n, nil
 }
 
-// prepare starts a node's upstream and writes its settings. The node's addresses are
-// free when it returns, and were held until everything else had its own.
+// prepare starts a node's upstream and writes the node's settings. It reserves the node's
+// addresses until the upstream and the cutter have theirs, and then releases them.
 func (s *soak) prepare(ctx context.Context, n *node) error {
-	free, release, err := freeAddresses(n.ip, listeners)
+	free, release, err := freeAddresses(n.ip, listenersPerNode)
 	if err != nil {
 		return err
 	}
@@ -69,27 +70,27 @@
 	if err != nil {
 		return errors.Wrap(err, "cutter")
 	}
-	if n.upstream, err = startUpstream(ctx, n.ip, reports, s.ledger); err != nil {
+	if n.upstream, err = startUpstream(ctx, n.ip, reports, s.checker); err != nil {
 		return err
 	}
-	n.upstream.endings, n.upstream.inTouch = s.endings, n.contact.kept
-	n.upstream.evacuated = func() time.Time { return s.evacuations.of(n.dataCentre) }
+	n.upstream.crashingRequests, n.upstream.nodeConnected = s.crashingRequests, n.connectivity.connected
+	n.upstream.evacuatedSince = func() time.Time { return s.evacuations.since(n.dataCentre) }
 	n.callers = callers
 	n.settings = filepath.Join(s.options.Dir, n.name+".yaml")
 	text := fmt.Sprintf("node: %s\ndata_centre: %s\nupstream: {address: %q, service: a}\nlisten: {callers: %q, links: %q, advertise: %q, reports: %q, ready: %q}\nstore: %q\nstop: {grace: %v}\naccount_limits: {window: %v, over: %v, slack: %v}\n",
-		n.name, n.dataCentre, n.upstream.address, callers, links, advertised, reports, ready, s.address, stopGrace, limitWindow, limitOver, limitSlack)
+		n.name, n.dataCentre, n.upstream.address, callers, links, advertised, reports, ready, s.storeAddress, stopGrace, limitWindow, limitOver, limitSlack)
 	return errors.Wrap(os.WriteFile(n.settings, []byte(text), 0o600), n.name)
 }
 
 func dataCentreName(i int) string { return fmt.Sprintf("d%d", i) }
 
-// freeAddresses returns addresses on which nobody listens. They are held until they
-// are released: a port that was given back may be given out again at once.
+// freeAddresses returns unused addresses and reserves them until release is called,
+// because the kernel may assign a closed port again at once.
 func freeAddresses(ip string, count int) (addresses []string, release func(), err error) {
-	var held []net.Listener
+	var listeners []net.Listener
 	release = func() {
-		for _, l := range held {
-			_ = l.Close() // It has served its purpose.
+		for _, l := range listeners {
+			_ = l.Close() // Only the port was needed.
 		}
 	}
 	for range count {
@@ -98,7 +99,7 @@
 			release()
 			return nil, nil, errors.Wrap(err, "address")
 		}
-		held = append(held, l)
+		listeners = append(listeners, l)
 		addresses = append(addresses, l.Addr().String())
 	}
 	return addresses, release, nil
@@ -107,44 +108,44 @@
 func (n *node) start() error {
 	p, err := fleet.StartProgram(n.name, n.dir, n.program, "mesh", "--settings", n.settings)
 	n.process = p
-	n.lives.Add(1)
+	n.starts.Add(1)
 	return err
 }
 
-// restart ends the process with a signal and starts it again.
-func (n *node) restart(with syscall.Signal) {
+// restart stops the process with the signal and starts it again.
+func (n *node) restart(sig syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if with == syscall.SIGKILL {
-		n.harmed.Store(time.Now().UnixNano())
+	if sig == syscall.SIGKILL {
+		n.disruptedAt.Store(time.Now().UnixNano())
 		n.process.Kill()
 	} else {
 		n.stops.begin(time.Now())
 		n.process.Stop()
 	}
-	_ = n.start() // The next restart tries again.
+	_ = n.start() // On an error supervise retries.
 	n.stops.end(time.Now())
 }
 
 func (n *node) pause(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.harmed.Store(time.Now().UnixNano())
-	_ = n.process.Signal(syscall.SIGSTOP) // It may have ended.
+	n.disruptedAt.Store(time.Now().UnixNano())
+	_ = n.process.Signal(syscall.SIGSTOP) // The process may have exited.
 	time.Sleep(d)
 	_ = n.process.Signal(syscall.SIGCONT)
-	n.harmed.Store(time.Now().UnixNano())
+	n.disruptedAt.Store(time.Now().UnixNano())
 }
 
-// supervise starts the process again when it has ended by itself.
+// supervise restarts the process whenever it has exited by itself.
 func (n *node) supervise(ctx context.Context) {
 	for ctx.Err() == nil {
-		time.Sleep(superviseEvery)
+		time.Sleep(superviseInterval)
 		n.mu.Lock()
 		if !n.process.Running() && ctx.Err() == nil {
-			n.harmed.Store(time.Now().UnixNano())
-			n.contact.begin()()
-			_ = n.start() // The next look tries again.
+			n.disruptedAt.Store(time.Now().UnixNano())
+			n.connectivity.beginFault()()
+			_ = n.start() // On an error the next iteration retries.
 		}
 		n.mu.Unlock()
 	}
@@ -153,7 +154,7 @@
 func (n *node) signal(sig syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	_ = n.process.Signal(sig) // It may have ended.
+	_ = n.process.Signal(sig) // The process may have exited.
 }
 
 func (n *node) kill() {
--- a/bench/soak/node_test.go
+++ b/bench/soak/node_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFreeAddressesDiffer asks for many addresses at once: a node with one port for
+// TestFreeAddressesDiffer guards against duplicate addresses: a node with the same port for
 // two of its listeners never starts.
 func TestFreeAddressesDiffer(t *testing.T) {
 	const count = 500
--- a/bench/soak/soak.go
+++ b/bench/soak/soak.go
@@ -1,15 +1,15 @@
-// Package soak runs a small fleet as real processes on loopback and injects faults
-// from outside of them, at random: links are held, delayed, reset or cut one way,
-// processes are stopped, killed, paused and started again, the store misbehaves,
-// upstreams leave and come back, configurations follow one another. While it runs
-// it compares what callers were told with what upstreams ran.
+// Package soak runs a small fleet as real processes on loopback and injects random
+// faults from outside: it holds, delays, resets or cuts links one way, stops, kills,
+// pauses and restarts processes, disrupts the store, drains upstreams and publishes
+// configurations. Meanwhile it compares the responses that callers received with the
+// requests that upstreams ran.
 //
 // # Usage
 //
 //	report, err := soak.Run(ctx, soak.Options{Program: "eiderfold", Dir: dir, Seed: 7, For: time.Minute, Nodes: 6})
 //	for _, v := range report.Violations { ... }
 //
-// The draws follow from the seed; the interleaving of processes does not.
+// The seed determines the faults, but not how the processes interleave.
 package soak
 
 import (
@@ -28,36 +28,36 @@
 )
 
 const (
-	// recoverTime is how long the fleet has after the last fault.
+	// recoverTime is how long the fleet may take to recover after the last fault.
 	recoverTime = 8 * time.Second
-	// recoverProbe is how long callers are counted after that.
+	// recoverProbe is how long requests are counted after recoverTime.
 	recoverProbe = 2 * time.Second
-	// recoveredShare of them must be served.
+	// recoveredShare is the minimum share of those requests that must be served.
 	recoveredShare = 0.9
-	// settleTime is how long the fleet runs before the first fault.
-	settleTime = 4 * time.Second
-	// callersPerNode is how many connections each node is called on.
+	// warmupTime is how long the fleet runs before the first fault.
+	warmupTime = 4 * time.Second
+	// callersPerNode is the number of concurrent callers of each node.
 	callersPerNode = 2
 )
 
-// Options say what to run.
+// Options configures a run.
 type Options struct {
-	Program string // The node's binary.
-	Dir     string // For settings and logs.
+	Program string // Path of the node's binary.
+	Dir     string // Folder of settings and logs.
 	Seed    uint64
-	For     time.Duration // How long faults are injected.
+	For     time.Duration // Duration of fault injection.
 	Nodes   int
-	// Accounts lets callers show keys of client accounts, one of which is far over its limit.
+	// Accounts makes callers send keys of client accounts, one of which exceeds its limit by far.
 	Accounts bool
-	// Uploads lets orders have large bodies, of which some come slowly.
+	// Uploads makes some orders large and sends their bodies slowly.
 	Uploads bool
-	// Operator lets operators evacuate data centres, and the store be restored from a copy.
+	// Operator adds evacuations of data centres and restores of the store from a copy.
 	Operator bool
-	// Ending lets requests come under which upstreams end.
+	// Ending adds requests that crash the upstreams which run them.
 	Ending bool
 }
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
 	Seed       uint64
 	Asked      int64
@@ -66,59 +66,59 @@
 	Violations []string
 }
 
-// soak is one run.
+// soak is the state of one run.
 type soak struct {
-	options Options
-	random  *rand.Rand
-	store   *standin.Metadata
-	cutter  *standin.Cutter
-	address string // Of the store.
-	nodes   []*node
-	ledger  *ledger
-	asked   atomic.Int64
-	served  atomic.Int64
-	mu      sync.Mutex
-	rules   []standin.Rule
-	faults  []string
-	endings map[string]*ending
-	kernel  kernelCounters // As the run began.
-	version int
-	// evacuations are the data centres that are to get nothing.
+	options          Options
+	random           *rand.Rand
+	store            *standin.Metadata
+	cutter           *standin.Cutter
+	storeAddress     string // Address of the store.
+	nodes            []*node
+	checker          *checker
+	asked            atomic.Int64
+	served           atomic.Int64
+	mu               sync.Mutex
+	rules            []standin.Rule
+	faults           []string
+	crashingRequests map[string]*crashingRequest
+	kernel           kernelCounters // Values at the start of the run.
+	version          int
+	// evacuations holds the data centres under evacuation.
 	evacuations evacuations
 }
 
-// Run plays one seed.
+// Run runs the soak for o.Seed and returns the violations found.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	s := &soak{options: o, random: rand.New(rand.NewPCG(o.Seed, o.Seed)), store: standin.NewMetadata(), cutter: standin.NewCutter(), ledger: newLedger(), kernel: readKernelCounters(), evacuations: evacuations{since: map[string]time.Time{}}}
+	s := &soak{options: o, random: rand.New(rand.NewPCG(o.Seed, o.Seed)), store: standin.NewMetadata(), cutter: standin.NewCutter(), checker: newChecker(), kernel: readKernelCounters(), evacuations: evacuations{start: map[string]time.Time{}}}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if o.Ending {
-		s.endings = newEndings()
+		s.crashingRequests = newCrashingRequests()
 	}
 	if err := s.start(ctx); err != nil {
 		return nil, err
 	}
-	defer s.end()
-	callers, stop := context.WithCancel(ctx)
-	defer stop()
+	defer s.killNodes()
+	callerCtx, stopCallers := context.WithCancel(ctx)
+	defer stopCallers()
 	var clients sync.WaitGroup
 	for i := range o.Nodes * callersPerNode {
-		clients.Go(func() { s.call(callers, s.nodes[i%o.Nodes], i) })
+		clients.Go(func() { s.runCaller(callerCtx, s.nodes[i%o.Nodes], i) })
 	}
-	time.Sleep(settleTime)
-	for _, e := range s.endings {
-		clients.Go(func() { s.sendEnding(callers, e) })
+	time.Sleep(warmupTime)
+	for _, e := range s.crashingRequests {
+		clients.Go(func() { s.sendCrashing(callerCtx, e) })
 	}
 	s.injectFaults(ctx)
-	s.heal()
+	s.clearFaults()
 	time.Sleep(recoverTime)
 	s.checkRecovery()
 	s.checkKeys(ctx)
-	stop()
+	stopCallers()
 	clients.Wait()
-	s.ledger.settle()
-	s.ledger.checkLimit()
-	return &Report{Seed: o.Seed, Asked: s.asked.Load(), Served: s.served.Load(), Faults: s.faults, Violations: s.ledger.violations()}, nil
+	s.checker.settle()
+	s.checker.checkLimit()
+	return &Report{Seed: o.Seed, Asked: s.asked.Load(), Served: s.served.Load(), Faults: s.faults, Violations: s.checker.violations()}, nil
 }
 
 // start serves the store, publishes a configuration and starts the nodes.
@@ -127,9 +127,9 @@
 	if err != nil {
 		return errors.Wrap(err, "store")
 	}
-	s.address = l.Addr().String()
+	s.storeAddress = l.Addr().String()
 	server := &http.Server{Handler: s.store, ReadHeaderTimeout: time.Minute}
-	go server.Serve(l) //nolint:errcheck // It ends with the run.
+	go server.Serve(l) //nolint:errcheck // Closed at the end of the run.
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 	if err := s.publish(ctx); err != nil {
 		return err
@@ -145,19 +145,20 @@
 }
 
 // end kills all nodes.
-func (s *soak) end() {
+func (s *soak) killNodes() {
 	for _, n := range s.nodes {
 		n.kill()
 	}
 }
 
-// publish writes the next configuration, as the operator.
+// publish writes the next version of the configuration to the operators' key.
 func (s *soak) publish(ctx context.Context) error {
 	s.version++
 	return s.store.Directory().Put(ctx, "op/config", configurationText(s.version, s.options.Accounts))
 }
 
-// configurationText is the configuration of a version. Every order may have a large body.
+// configurationText returns the configuration of the given version. Its body limit
+// admits the large bodies of a run with uploads.
 func configurationText(version int, withAccounts bool) []byte {
 	accounts := ""
 	if withAccounts {
@@ -170,13 +171,13 @@
 		fmt.Sprintf(rule, "version", "idempotent", fmt.Sprintf("/v%d/", version)))
 }
 
-// checkRecovery counts what callers get once all faults are over.
+// checkRecovery checks the share of requests served once all faults have ended.
 func (s *soak) checkRecovery() {
 	asked, served := s.asked.Load(), s.served.Load()
-	s.ledger.resetEnds()
+	s.checker.resetOutcomes()
 	time.Sleep(recoverProbe)
 	asked, served = s.asked.Load()-asked, s.served.Load()-served
 	if float64(served) < recoveredShare*float64(asked) || asked == 0 {
-		s.ledger.violate("RECOVER: %d of %d requests served after all faults; ends by node, status, result: %v", served, asked, s.ledger.resetEnds())
+		s.checker.violate("RECOVER: %d of %d requests served after all faults; ends by node, status, result: %v", served, asked, s.checker.resetOutcomes())
 	}
 }
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -12,40 +12,41 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSeed1 runs a short soak of a fixed seed, which once found a process that a
-// signal at its start had ended.
-func TestSeed1(t *testing.T) { playSeed(t, Options{Seed: 1, Nodes: 4, For: 12 * time.Second}) }
+// TestSeed1 runs a short soak with a fixed seed. It guards against a node that is
+// terminated by a signal during startup.
+func TestSeed1(t *testing.T) { runSeed(t, Options{Seed: 1, Nodes: 4, For: 12 * time.Second}) }
 
-// TestSeed58 found an order in doubt when its ingress's grace time was over.
-func TestSeed58(t *testing.T) { playSeed(t, Options{Seed: 58, Nodes: 5, For: 8 * time.Second}) }
+// TestSeed58 guards against an order that is still unconfirmed when the grace time of its
+// ingress ends.
+func TestSeed58(t *testing.T) { runSeed(t, Options{Seed: 58, Nodes: 5, For: 8 * time.Second}) }
 
-// TestAccounts lets callers show keys, one account be far over its limit, and keys be
-// passed on and taken away.
+// TestAccounts sends keys of client accounts, one of which exceeds its limit by far, while
+// configurations move keys between accounts and revoke them.
 func TestAccounts(t *testing.T) {
-	playSeed(t, Options{Seed: 7, Nodes: 4, For: 8 * time.Second, Accounts: true})
+	runSeed(t, Options{Seed: 7, Nodes: 4, For: 8 * time.Second, Accounts: true})
 }
 
-// TestEnding lets two requests come again and again under which upstreams end, while nodes
-// are killed, all of them too, and cut off.
+// TestEnding repeats two requests that crash upstreams while nodes are cut off and killed,
+// at times all of them at once.
 func TestEnding(t *testing.T) {
-	playSeed(t, Options{Seed: 11, Nodes: 5, For: 10 * time.Second, Ending: true})
+	runSeed(t, Options{Seed: 11, Nodes: 5, For: 10 * time.Second, Ending: true})
 }
 
-// TestSeed120 found an upstream that had ended, started again under its id and said first
-// that it leaves: its gate was open still for the earlier start, and it got work 2.5 s on.
+// TestSeed120 guards against a gate that stays open for a crashed upstream's previous
+// incarnation when the new one, with the same id, reports first that it is draining.
 func TestSeed120(t *testing.T) {
-	playSeed(t, Options{Seed: 120, Nodes: 5, For: 8 * time.Second, Ending: true})
+	runSeed(t, Options{Seed: 120, Nodes: 5, For: 8 * time.Second, Ending: true})
 }
 
-// TestOperator lets data centres be evacuated and the store be restored from a copy while
-// nodes are stopped, killed and cut off, and orders with large bodies come slowly.
+// TestOperator evacuates data centres and restores the store from a copy while nodes are
+// stopped, killed and cut off and large order bodies arrive slowly.
 func TestOperator(t *testing.T) {
-	playSeed(t, Options{Seed: 21, Nodes: 6, For: 12 * time.Second, Uploads: true, Operator: true})
+	runSeed(t, Options{Seed: 21, Nodes: 6, For: 12 * time.Second, Uploads: true, Operator: true})
 }
 
-// playSeed plays a seed. The nodes' logs stay when it breaks a promise, since
-// another play may not.
-func playSeed(t *testing.T, o Options) {
+// runSeed runs the soak and checks that it finds no violation. It keeps the nodes' logs on
+// failure, since another run with the same seed may pass.
+func runSeed(t *testing.T, o Options) {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "eiderfold")
 	output, err := exec.Command("go", "build", "-o", program, "eiderfold/cmd/eiderfold").CombinedOutput()
--- a/bench/soak/stops.go
+++ b/bench/soak/stops.go
@@ -7,52 +7,52 @@
 )
 
 const (
-	// dialTimeout is how long a caller waits for a new connection.
+	// dialTimeout is the timeout of a caller for a new connection.
 	dialTimeout = time.Second
 	// closeAfter is how long after SIGTERM a node closes its listener: half of its grace
-	// time at the most, or as long as the platform needs to move callers away.
+	// time at most, or as long as the platform needs to move callers away.
 	closeAfter = stopGrace / 2
-	// signalTime is how long before that the listener may be closed, as seen from here.
-	signalTime = 50 * time.Millisecond
+	// closeMargin is how much earlier the listener may close as seen by this process.
+	closeMargin = 50 * time.Millisecond
 )
 
-// stops tells when a node's listener was closed by a planned stop. A dial that meets that
-// moment may be lost without a word: the kernel has found the listener, finds it closed, and
-// drops the packet, which the dialing side sends again a second later
-// (BenchmarkDialsAtAClosingListener: 3 of 1.1 million dials, none where it stays open).
+// stops records when planned stops may have closed a node's listener. A dial at that
+// moment may be lost silently: the kernel looks up the listener, finds it closed and drops
+// the SYN, which the dialing side retransmits a second later. See
+// BenchmarkDialsAtAClosingListener.
 type stops struct {
-	mu   sync.Mutex
-	list []stop
+	mu      sync.Mutex
+	windows []closeWindow
 }
 
-// stop is when the listener may have been closed.
-type stop struct {
+// closeWindow is a time in which the listener may have been closed.
+type closeWindow struct {
 	from time.Time
-	to   time.Time // When the next process had been started; the zero time until it has.
+	to   time.Time // When the next process was started; zero until then.
 }
 
-// begin takes note of a SIGTERM.
+// begin records a SIGTERM.
 func (s *stops) begin(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list = append(s.list, stop{from: at.Add(closeAfter - signalTime)})
+	s.windows = append(s.windows, closeWindow{from: at.Add(closeAfter - closeMargin)})
 }
 
-// end takes note of the next process, after whatever end.
+// end records the start of the next process, whatever stopped the previous one.
 func (s *stops) end(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if last := len(s.list) - 1; last >= 0 && s.list[last].to.IsZero() {
-		s.list[last].to = at
+	if last := len(s.windows) - 1; last >= 0 && s.windows[last].to.IsZero() {
+		s.windows[last].to = at
 	}
 }
 
-// met tells whether a dial that began then, and timed out, may have met a listener that was
-// being closed. It is the first packet that is lost, so its later time does not count.
-func (s *stops) met(began time.Time) bool {
+// overlaps reports whether a dial that began at dialStart and timed out may have reached
+// a closing listener. Only the start counts, because the first packet is the one lost.
+func (s *stops) overlaps(dialStart time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.list, func(o stop) bool {
-		return !began.Before(o.from) && (o.to.IsZero() || !began.After(o.to))
+	return slices.ContainsFunc(s.windows, func(o closeWindow) bool {
+		return !dialStart.Before(o.from) && (o.to.IsZero() || !dialStart.After(o.to))
 	})
 }
--- a/bench/soak/upload.go
+++ b/bench/soak/upload.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// uploadRepeats makes a body of some 40 KB of an attempt's name.
+	// uploadRepeats is how often a large body repeats the attempt's id, about 40 KB in all.
 	uploadRepeats = 3000
-	// uploadPieces is in how many pieces a slow sender sends it, uploadPause apart.
-	uploadPieces = 4
+	// A slow sender sends a large body in uploadChunks chunks, uploadPause apart.
+	uploadChunks = 4
 	uploadPause  = 60 * time.Millisecond
-	// pacedFrom is from what size on a body is sent so, in chunks.
-	pacedFrom = 4 << 10
+	// slowBodyMin is the size in bytes above which a body is sent slowly.
+	slowBodyMin = 4 << 10
 )
 
-// orderBody is what an order sends: in a run with uploads every other caller's are large.
+// orderBody returns the body of an order. In a run with uploads every other caller sends
+// large bodies.
 func (s *soak) orderBody(attempt string, caller int) string {
 	if s.options.Uploads && caller%2 == 0 {
 		return strings.Repeat(attempt+" ", uploadRepeats)
@@ -24,23 +25,23 @@
 	return "order of " + attempt
 }
 
-// slowBody reads a body in pieces, with a pause between them.
+// slowBody is a reader that pauses for uploadPause after each chunk.
 type slowBody struct {
 	io.Reader
-	piece int
-	left  int // Of the piece.
+	chunk int // Size in bytes.
+	left  int // Remaining bytes of the current chunk.
 }
 
 func newSlowBody(body string) *slowBody {
-	piece := len(body)/uploadPieces + 1
-	return &slowBody{Reader: strings.NewReader(body), piece: piece, left: piece}
+	chunk := len(body)/uploadChunks + 1
+	return &slowBody{Reader: strings.NewReader(body), chunk: chunk, left: chunk}
 }
 
 // Read implements io.Reader.
 func (b *slowBody) Read(p []byte) (int, error) {
 	if b.left == 0 {
 		time.Sleep(uploadPause)
-		b.left = b.piece
+		b.left = b.chunk
 	}
 	n, err := b.Reader.Read(p[:min(len(p), b.left)])
 	b.left -= n
--- a/bench/soak/upstream.go
+++ b/bench/soak/upstream.go
@@ -17,80 +17,83 @@
 )
 
 const (
-	// heartbeatEvery is the pace of heartbeats.
-	heartbeatEvery = 250 * time.Millisecond
-	// leaveTime is how long a leaving upstream goes on serving.
-	leaveTime = 2500 * time.Millisecond
-	// drainTime is how long after its acknowledgement new work may still come.
-	drainTime = 2 * time.Second
-	// Work takes between workLeast and workMost, evenly.
-	workLeast = 10 * time.Millisecond
-	workMost  = 80 * time.Millisecond
-	// breakShare of its requests a failing upstream resets, half of them after the work.
-	breakShare = 0.7
-	// slots is what an upstream says of itself; it keeps to no bound.
+	// heartbeatInterval is the time between two heartbeats.
+	heartbeatInterval = 250 * time.Millisecond
+	// drainDuration is how long a draining upstream continues to serve.
+	drainDuration = 2500 * time.Millisecond
+	// drainGrace is how long after the acknowledgement of its draining state an upstream
+	// may still receive new requests.
+	drainGrace = 2 * time.Second
+	// The time to run a request is uniform between minWork and maxWork.
+	minWork = 10 * time.Millisecond
+	maxWork = 80 * time.Millisecond
+	// failShare is the share of requests that a failing upstream resets, half of them
+	// after it ran them.
+	failShare = 0.7
+	// slots is the concurrency that an upstream reports. It does not enforce it.
 	slots = 4
 )
 
-// upstream does a service's work and reports to the node beside it.
+// upstream serves requests and sends heartbeats to the node beside it.
 type upstream struct {
-	address string
-	reports string
-	ledger  *ledger
-	failing atomic.Bool
-	leaving sync.Mutex // Held while it leaves.
-	mu      sync.Mutex
-	id      string
-	number  int
-	born    int64 // Unix milliseconds.
-	state   string
-	seq     int
-	left    time.Time          // When it was acknowledged as leaving; zero if it was not.
-	server  *http.Server       // nil while the process is away.
-	endings map[string]*ending // Requests under which it ends, by path.
-	inTouch func() bool        // The node beside it is.
-	// evacuated returns since when its data centre is to get nothing; zero if it may.
-	evacuated func() time.Time
+	address          string
+	reportAddress    string
+	checker          *checker
+	failing          atomic.Bool
+	draining         sync.Mutex // Held while it drains.
+	mu               sync.Mutex
+	id               string
+	generation       int
+	startedAt        int64 // Start of the incarnation, in Unix milliseconds.
+	state            string
+	seq              int
+	drainingSince    time.Time                   // When the draining state was acknowledged; zero if it was not.
+	server           *http.Server                // nil while the upstream is down.
+	crashingRequests map[string]*crashingRequest // Requests that crash it, by path.
+	nodeConnected    func() bool                 // Reports whether the node beside it is connected.
+	// evacuatedSince returns when the evacuation of its data centre began; the zero time
+	// if there is none.
+	evacuatedSince func() time.Time
 }
 
-func startUpstream(ctx context.Context, ip, reports string, l *ledger) (*upstream, error) {
+func startUpstream(ctx context.Context, ip, reportAddress string, c *checker) (*upstream, error) {
 	listener, err := net.Listen("tcp4", ip+":0")
 	if err != nil {
 		return nil, errors.Wrap(err, "upstream")
 	}
-	u := &upstream{address: listener.Addr().String(), reports: reports, ledger: l, state: "ready"}
-	u.renew(false)
+	u := &upstream{address: listener.Addr().String(), reportAddress: reportAddress, checker: c, state: "ready"}
+	u.newIncarnation(false)
 	u.serve(ctx, listener)
-	go u.report(ctx)
+	go u.sendHeartbeats(ctx)
 	return u, nil
 }
 
-// serve runs the upstream's process until it is closed or ctx ends.
+// serve runs the upstream's server until it is closed or ctx ends.
 func (u *upstream) serve(ctx context.Context, listener net.Listener) {
 	server := &http.Server{Handler: u, ReadHeaderTimeout: time.Minute, BaseContext: func(net.Listener) context.Context { return ctx }}
-	go server.Serve(listener) //nolint:errcheck // It ends with the run.
+	go server.Serve(listener) //nolint:errcheck // Closed at the end of the run.
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.server = server
 }
 
-// renew begins another incarnation, which may have the id of the one before.
-func (u *upstream) renew(sameID bool) {
+// newIncarnation starts a new incarnation, with the previous id if sameID is set.
+func (u *upstream) newIncarnation(sameID bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !sameID {
-		u.number++
+		u.generation++
 	}
-	u.id = "i-" + u.address + "-" + strconv.Itoa(u.number)
-	u.born = time.Now().UnixMilli()
-	u.state, u.seq, u.left = "ready", 0, time.Time{}
+	u.id = "i-" + u.address + "-" + strconv.Itoa(u.generation)
+	u.startedAt = time.Now().UnixMilli()
+	u.state, u.seq, u.drainingSince = "ready", 0, time.Time{}
 }
 
 // ServeHTTP implements http.Handler.
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	u.mu.Lock()
-	id, state, left := u.id, u.state, u.left
+	id, state, drainingSince := u.id, u.state, u.drainingSince
 	u.mu.Unlock()
 	if r.URL.Path == "/health" {
 		w.Header().Set("Instance-Id", id)
@@ -109,26 +112,26 @@
 	if err != nil {
 		return
 	}
-	if !left.IsZero() && time.Since(left) > drainTime {
-		u.ledger.violate("DRAIN: %s got %s %v after its acknowledgement", id, attempt, time.Since(left))
+	if !drainingSince.IsZero() && time.Since(drainingSince) > drainGrace {
+		u.checker.violate("DRAIN: %s got %s %v after its acknowledgement", id, attempt, time.Since(drainingSince))
 	}
-	broken := u.failing.Load() && rand.Float64() < breakShare
+	broken := u.failing.Load() && rand.Float64() < failShare
 	if broken && rand.Float64() < 0.5 {
 		panic(http.ErrAbortHandler)
 	}
 	if r.Header.Get("Authorization") != "" {
-		u.ledger.violate("SECRET: %s was shown the key of %s", id, attempt)
+		u.checker.violate("SECRET: %s was shown the key of %s", id, attempt)
 	}
-	e := u.endings[r.URL.Path]
+	e := u.crashingRequests[r.URL.Path]
 	if e != nil {
-		e.arrived(u.inTouch(), u.ledger)
+		e.recordArrival(u.nodeConnected(), u.checker)
 	}
 	u.checkEvacuated(attempt)
-	u.ledger.ran(attempt, r.Method+" "+r.RequestURI+" "+string(body), r.Header.Get("Tenant"))
-	time.Sleep(workLeast + rand.N(workMost-workLeast))
+	u.checker.recordRun(attempt, r.Method+" "+r.RequestURI+" "+string(body), r.Header.Get("Tenant"))
+	time.Sleep(minWork + rand.N(maxWork-minWork))
 	if e != nil {
-		e.ended()
-		go u.end(context.WithoutCancel(r.Context()))
+		e.recordCrash()
+		go u.crash(context.WithoutCancel(r.Context()))
 		<-r.Context().Done()
 		return
 	}
@@ -137,18 +140,18 @@
 	}
 	w.Header().Set("Attempt-Id", attempt)
 	w.Header().Set("Response-Stamp", id)
-	_, _ = io.WriteString(w, expectedBody(attempt)) // The node may have left.
+	_, _ = io.WriteString(w, expectedBody(attempt)) // The node may have closed the connection.
 }
 
-// expectedBody is what belongs to an attempt.
+// expectedBody returns the response body of an attempt.
 func expectedBody(attempt string) string { return strings.Repeat(attempt+" ", 40) }
 
-// report sends heartbeats until ctx ends.
-func (u *upstream) report(ctx context.Context) {
-	t := time.NewTicker(heartbeatEvery)
+// sendHeartbeats sends heartbeats until ctx ends.
+func (u *upstream) sendHeartbeats(ctx context.Context) {
+	t := time.NewTicker(heartbeatInterval)
 	defer t.Stop()
 	for {
-		u.beat(ctx)
+		u.heartbeat(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -157,8 +160,8 @@
 	}
 }
 
-// beat reports once, and reports whether it was acknowledged within a second.
-func (u *upstream) beat(ctx context.Context) bool {
+// heartbeat sends one heartbeat and reports whether it was acknowledged within a second.
+func (u *upstream) heartbeat(ctx context.Context) bool {
 	u.mu.Lock()
 	if u.server == nil {
 		u.mu.Unlock()
@@ -166,39 +169,39 @@
 	}
 	u.seq++
 	id, state := u.id, u.state
-	body := fmt.Sprintf(`{"service":"a","address":%q,"zone":"d","version":"v1","slots":%d,"state":%q,"coldLeftMs":0,"callSeq":%d,"born":%d}`, u.address, slots, state, u.seq, u.born)
+	body := fmt.Sprintf(`{"service":"a","address":%q,"zone":"d","version":"v1","slots":%d,"state":%q,"coldLeftMs":0,"callSeq":%d,"born":%d}`, u.address, slots, state, u.seq, u.startedAt)
 	u.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+u.reports+"/-/rpc?call=instances.heartbeat&of="+id, strings.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+u.reportAddress+"/-/rpc?call=instances.heartbeat&of="+id, strings.NewReader(body))
 	if err != nil {
 		return false
 	}
-	answer, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return false
 	}
-	_ = answer.Body.Close()
-	acknowledged := answer.StatusCode == http.StatusOK
+	_ = resp.Body.Close()
+	acknowledged := resp.StatusCode == http.StatusOK
 	if acknowledged && state != "ready" {
 		u.mu.Lock()
-		if u.left.IsZero() && u.id == id {
-			u.left = time.Now()
+		if u.drainingSince.IsZero() && u.id == id {
+			u.drainingSince = time.Now()
 		}
 		u.mu.Unlock()
 	}
 	return acknowledged
 }
 
-// leave announces the end of this incarnation, serves on for a while and begins
-// the next one.
-func (u *upstream) leave(ctx context.Context) {
-	u.leaving.Lock()
-	defer u.leaving.Unlock()
+// drain reports this incarnation as draining, continues to serve for drainDuration and
+// then starts the next incarnation.
+func (u *upstream) drain(ctx context.Context) {
+	u.draining.Lock()
+	defer u.draining.Unlock()
 	u.mu.Lock()
 	u.state = "draining"
 	u.mu.Unlock()
-	u.beat(ctx)
-	time.Sleep(leaveTime)
-	u.renew(false)
+	u.heartbeat(ctx)
+	time.Sleep(drainDuration)
+	u.newIncarnation(false)
 }
