--- a/bench/cmd/baseline/main.go
+++ b/bench/cmd/baseline/main.go
@@ -1,4 +1,4 @@
-// Command baseline is a node whose ejection is one of the baselines'.
+// Command baseline runs a node with one of the baseline ejection policies.
 //
 // # Usage
 //
@@ -39,8 +39,8 @@
 }
 
 func run(ctx context.Context, arguments []string) error {
-	const wanted = 4
-	if len(arguments) != wanted || policies[arguments[0]] == nil {
+	const argumentCount = 4
+	if len(arguments) != argumentCount || policies[arguments[0]] == nil {
 		return errors.New("usage: baseline none|consecutive|deviation run --settings FILE")
 	}
 	s, err := settings.Load(arguments[3], os.LookupEnv, nil)
--- a/bench/cmd/detect/main.go
+++ b/bench/cmd/detect/main.go
@@ -1,14 +1,14 @@
-// Command detect measures, by simulation, how soon a gate narrows the work of an
-// upstream that has begun to fail, and how often it narrows a healthy one.
+// Command detect measures, by simulation, how soon a gate restricts the requests to an
+// upstream that starts to fail, and how often it restricts a healthy one.
 //
 // # Usage
 //
 //	detect --seeds 200 --rate 8
 //
-// An upstream gets requests at random times, a third of them orders. From the
-// tenth second on a share of its work fails. Detection is the time until the gate
-// first refuses an order; harmed are the orders that failed within ten seconds. The
-// baselines eject after five failures in a row for ten seconds, and never.
+// An upstream receives requests at random times, a third of them orders. From faultAt
+// on a share of them fails. Detection is the time until the gate first refuses an order;
+// "harmed" counts the orders that failed within faultFor. One baseline ejects for ten
+// seconds after five consecutive failures, the other one never ejects.
 package main
 
 import (
@@ -27,108 +27,108 @@
 )
 
 const (
-	service     = "births"
-	faultAt     = 10 * time.Second
-	faultFor    = 10 * time.Second
-	errorShare  = 0.012 // Errors of a healthy upstream, as the users' sites have them.
-	workMean    = 200 * time.Millisecond
-	workSpread  = 0.4 // Of the logarithm.
-	tick        = 50 * time.Millisecond
-	consecutive = 5
-	banTime     = 10 * time.Second
-	healthyFor  = 2 * time.Hour
+	service          = "births"
+	faultAt          = 10 * time.Second
+	faultFor         = 10 * time.Second
+	errorShare       = 0.012 // Error rate of a healthy upstream at the users' sites.
+	workMean         = 200 * time.Millisecond
+	workSpread       = 0.4 // Standard deviation of the logarithm of the work time.
+	tick             = 50 * time.Millisecond
+	consecutiveLimit = 5
+	ejectionTime     = 10 * time.Second
+	healthyFor       = 2 * time.Hour
 )
 
-// The shape of the load, by flags.
+// The shape of the load, set by flags.
 var (
 	orderShare = 1.0 / 3
 	slots      = 4
 )
 
-// policy decides whether a gate takes a request, and learns how it ended.
+// policy decides whether a gate admits a request, and receives its outcome.
 type policy interface {
-	take(now time.Time, key uint64, retryable bool) verdict
-	end(now time.Time, key uint64, o gate.Outcome, took time.Duration)
+	admit(now time.Time, key uint64, retryable bool) decision
+	done(now time.Time, key uint64, o gate.Outcome, took time.Duration)
 	tick(now time.Time)
 }
 
-// verdict is what becomes of a request at the gate.
-type verdict uint8
+// decision is what a policy does with a request.
+type decision uint8
 
 const (
-	taken   verdict = iota
-	full            // All slots are busy; another gate gets it.
-	refused         // For what speaks against the upstream.
+	admitted decision = iota
+	full              // All slots are busy; the request goes to another gate.
+	refused           // Because of evidence against the upstream.
 )
 
-// ours is the gate's own admission.
-type ours struct {
+// gatePolicy applies the gate's own admission.
+type gatePolicy struct {
 	a     *gate.Admission
 	trial bool
 }
 
-func newOurs(now time.Time) policy {
+func newGatePolicy(now time.Time) policy {
 	a := gate.NewAdmission(service, budget.New(0, 0, now))
 	a.Update(gate.Reported{At: now, Report: port.Report{Incarnation: port.Incarnation{ID: "i-1"}, Service: service, Slots: slots, Sequence: 1}})
 	a.Update(gate.Confirmed{At: now, Upstream: port.Incarnation{ID: "i-1"}})
-	return &ours{a: a}
+	return &gatePolicy{a: a}
 }
 
-func (p *ours) take(now time.Time, key uint64, retryable bool) verdict {
+func (p *gatePolicy) admit(now time.Time, key uint64, retryable bool) decision {
 	k := link.Key{Number: key}
 	deadline := now.Add(time.Minute)
 	for _, c := range p.a.Update(gate.Offered{At: now, Key: k, Service: service, Deadline: deadline, Aim: deadline, Retryable: retryable, Ready: true}) {
 		switch c := c.(type) {
 		case gate.Start:
 			if c.Key == k {
-				return taken
+				return admitted
 			}
 		case gate.Queue:
-			p.a.Update(gate.Withdrawn{At: now, Key: k}) // Another gate takes it.
+			p.a.Update(gate.Withdrawn{At: now, Key: k}) // Another gate admits it.
 			return full
 		}
 	}
 	return refused
 }
 
-func (p *ours) end(now time.Time, key uint64, o gate.Outcome, took time.Duration) {
+func (p *gatePolicy) done(now time.Time, key uint64, o gate.Outcome, took time.Duration) {
 	p.a.Update(gate.Ended{At: now, Key: link.Key{Number: key}, Outcome: o, Took: took})
 }
 
-func (p *ours) tick(now time.Time) { p.a.Update(gate.Ticked{At: now}) }
+func (p *gatePolicy) tick(now time.Time) { p.a.Update(gate.Ticked{At: now}) }
 
-// inARow ejects for a time after so many failures in a row; 0 for never.
-type inARow struct {
-	limit, bad int
-	until      time.Time
+// consecutivePolicy ejects for ejectionTime after limit consecutive failures; 0 means never.
+type consecutivePolicy struct {
+	limit, failures int
+	until           time.Time
 }
 
-func (p *inARow) take(now time.Time, _ uint64, _ bool) verdict {
+func (p *consecutivePolicy) admit(now time.Time, _ uint64, _ bool) decision {
 	if now.Before(p.until) {
 		return refused
 	}
-	return taken
+	return admitted
 }
 
-func (p *inARow) end(now time.Time, _ uint64, o gate.Outcome, _ time.Duration) {
+func (p *consecutivePolicy) done(now time.Time, _ uint64, o gate.Outcome, _ time.Duration) {
 	if o == gate.Good {
-		p.bad = 0
+		p.failures = 0
 		return
 	}
-	if p.bad++; p.limit > 0 && p.bad >= p.limit {
-		p.until = now.Add(banTime)
-		p.bad = 0
+	if p.failures++; p.limit > 0 && p.failures >= p.limit {
+		p.until = now.Add(ejectionTime)
+		p.failures = 0
 	}
 }
 
-func (*inARow) tick(time.Time) {}
+func (*consecutivePolicy) tick(time.Time) {}
 
-// fault is what an upstream does from faultAt on.
+// fault describes how an upstream behaves from faultAt on.
 type fault struct {
 	name    string
-	share   float64
+	share   float64 // Of requests that fail.
 	outcome gate.Outcome
-	factor  float64 // On its work; 0 for an answer at once.
+	factor  float64 // Multiplies the work time of a failed request; 0 responds at once.
 }
 
 var faults = []fault{
@@ -140,8 +140,8 @@
 	{"silent 0.75", 0.75, gate.NoEvidence, 25},
 }
 
-// running is a request at the upstream.
-type running struct {
+// request is a request in flight at the upstream.
+type request struct {
 	key     uint64
 	order   bool
 	ends    time.Time
@@ -149,51 +149,51 @@
 	outcome gate.Outcome
 }
 
-// result is what one run saw.
+// result holds the figures of one run.
 type result struct {
-	detected time.Duration // faultFor if never.
-	harmed   int
-	refused  int // Orders refused while all was well.
-	orders   int // Orders while all was well.
-	answers  int // All answers.
-	trials   int // How often the gate went on trial.
+	detected     time.Duration // faultFor if undetected.
+	failedOrders int
+	refused      int // Orders refused without a fault.
+	orders       int // Orders without a fault.
+	answers      int // Finished requests.
+	trials       int // Transitions of the gate to its trial mode.
 }
 
-func simulate(p policy, f fault, rate, errs float64, length time.Duration, seed uint64) result {
+func simulate(p policy, f fault, rate, errorRate float64, length time.Duration, seed uint64) result {
 	random := rand.New(rand.NewPCG(seed, 9))
 	start := time.Unix(1_000_000, 0)
 	r := result{detected: faultFor}
-	var busy []running
+	var inFlight []request
 	key := uint64(0)
 	next := start
 	for now := start; now.Before(start.Add(length)); now = now.Add(tick) {
-		before := len(busy)
-		busy = settle(p, busy, now)
-		r.answers += before - len(busy)
+		before := len(inFlight)
+		inFlight = finish(p, inFlight, now)
+		r.answers += before - len(inFlight)
 		p.tick(now)
-		r.watch(p)
+		r.countTrials(p)
 		for ; !next.After(now); next = next.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second))) {
 			key++
 			order := random.Float64() < orderShare
-			sick := f.share > 0 && now.Sub(start) >= faultAt
-			v := p.take(now, key, !order)
-			r.count(order, sick, v, now.Sub(start)-faultAt)
-			if v != taken {
+			faulty := f.share > 0 && now.Sub(start) >= faultAt
+			v := p.admit(now, key, !order)
+			r.record(order, faulty, v, now.Sub(start)-faultAt)
+			if v != admitted {
 				continue
 			}
-			q := draw(random, f, errs, sick, now, key, order)
-			if sick && order && q.outcome != gate.Good {
-				r.harmed++
+			req := newRequest(random, f, errorRate, faulty, now, key, order)
+			if faulty && order && req.outcome != gate.Good {
+				r.failedOrders++
 			}
-			busy = append(busy, q)
+			inFlight = append(inFlight, req)
 		}
 	}
 	return r
 }
 
-// watch counts the beginnings of trials.
-func (r *result) watch(p policy) {
-	o, ok := p.(*ours)
+// countTrials counts transitions of the gate to its trial mode.
+func (r *result) countTrials(p policy) {
+	o, ok := p.(*gatePolicy)
 	if !ok {
 		return
 	}
@@ -204,12 +204,12 @@
 	o.trial = trial
 }
 
-func (r *result) count(order, sick bool, v verdict, since time.Duration) {
+func (r *result) record(order, faulty bool, v decision, since time.Duration) {
 	switch {
 	case !order:
-	case sick && v == refused:
+	case faulty && v == refused:
 		r.detected = min(r.detected, since)
-	case !sick:
+	case !faulty:
 		r.orders++
 		if v == refused {
 			r.refused++
@@ -217,26 +217,26 @@
 	}
 }
 
-func draw(random *rand.Rand, f fault, errs float64, sick bool, now time.Time, key uint64, order bool) running {
+func newRequest(random *rand.Rand, f fault, errorRate float64, faulty bool, now time.Time, key uint64, order bool) request {
 	work := time.Duration(float64(workMean) * lognormal(random))
-	q := running{key: key, order: order, took: work, outcome: gate.Good}
+	req := request{key: key, order: order, took: work, outcome: gate.Good}
 	switch {
-	case sick && random.Float64() < f.share:
-		q.took = time.Duration(f.factor * float64(work))
-		q.outcome = f.outcome
-	case random.Float64() < errs:
-		q.outcome = gate.Erred
+	case faulty && random.Float64() < f.share:
+		req.took = time.Duration(f.factor * float64(work))
+		req.outcome = f.outcome
+	case random.Float64() < errorRate:
+		req.outcome = gate.Erred
 	}
-	q.ends = now.Add(q.took)
-	return q
+	req.ends = now.Add(req.took)
+	return req
 }
 
-func settle(p policy, busy []running, now time.Time) []running {
-	return slices.DeleteFunc(busy, func(q running) bool {
-		if q.ends.After(now) {
+func finish(p policy, inFlight []request, now time.Time) []request {
+	return slices.DeleteFunc(inFlight, func(req request) bool {
+		if req.ends.After(now) {
 			return false
 		}
-		p.end(now, q.key, q.outcome, q.took)
+		p.done(now, req.key, req.outcome, req.took)
 		return true
 	})
 }
@@ -259,10 +259,10 @@
 		c.Println("| --- | --- | --- | --- |")
 		for _, f := range faults {
 			for _, name := range []string{"ours", "five in a row", "none"} {
-				table(c, f, name, *rate, *seeds)
+				printFault(c, f, name, *rate, *seeds)
 			}
 		}
-		healthy(c, *rate)
+		printHealthy(c, *rate)
 		return nil
 	}
 	return c
@@ -271,38 +271,39 @@
 func newPolicy(name string) policy {
 	switch name {
 	case "ours":
-		return newOurs(time.Unix(1_000_000, 0))
+		return newGatePolicy(time.Unix(1_000_000, 0))
 	case "none":
-		return &inARow{}
+		return &consecutivePolicy{}
 	default:
-		return &inARow{limit: consecutive}
+		return &consecutivePolicy{limit: consecutiveLimit}
 	}
 }
 
-func table(c *cobra.Command, f fault, name string, rate float64, seeds uint64) {
+func printFault(c *cobra.Command, f fault, name string, rate float64, seeds uint64) {
 	var times []time.Duration
-	never, harmed := 0, 0
+	undetected, failedOrders := 0, 0
 	for seed := range seeds {
 		r := simulate(newPolicy(name), f, rate, errorShare, faultAt+faultFor, seed)
 		times = append(times, r.detected)
-		harmed += r.harmed
+		failedOrders += r.failedOrders
 		if r.detected == faultFor {
-			never++
+			undetected++
 		}
 	}
 	slices.Sort(times)
 	c.Printf("| %s | %s | %d / %d / %d of %d | %.1f |\n", f.name, name, times[len(times)/2].Milliseconds(),
-		times[len(times)*99/100].Milliseconds(), never, seeds, float64(harmed)/float64(seeds))
+		times[len(times)*99/100].Milliseconds(), undetected, seeds, float64(failedOrders)/float64(seeds))
 }
 
-// healthy looks for false alarms, with the errors that the users' sites have and with none.
-func healthy(c *cobra.Command, rate float64) {
+// printHealthy prints the false alarms of a healthy upstream, with the error rate of the
+// users' sites and without errors.
+func printHealthy(c *cobra.Command, rate float64) {
 	c.Println("\n| nothing wrong | orders | refused | answers | trials |")
 	c.Println("| --- | --- | --- | --- | --- |")
-	for _, errs := range []float64{errorShare, 0} {
+	for _, errorRate := range []float64{errorShare, 0} {
 		for _, name := range []string{"ours", "five in a row"} {
-			r := simulate(newPolicy(name), fault{}, rate, errs, healthyFor, 1)
-			c.Printf("| %s, errors %v | %d | %d | %d | %d |\n", name, errs, r.orders, r.refused, r.answers, r.trials)
+			r := simulate(newPolicy(name), fault{}, rate, errorRate, healthyFor, 1)
+			c.Printf("| %s, errors %v | %d | %d | %d | %d |\n", name, errorRate, r.orders, r.refused, r.answers, r.trials)
 		}
 	}
 }
--- a/bench/cmd/passthrough/main.go
+++ b/bench/cmd/passthrough/main.go
@@ -1,4 +1,4 @@
-// Command passthrough runs the smallest proxy.
+// Command passthrough runs the minimal proxy that nodes are compared with.
 //
 // # Usage
 //
@@ -32,5 +32,5 @@
 		return err
 	}
 	fmt.Println("listening", l.Addr())
-	return http.Serve(l, passthrough.New(arguments[0])) //nolint:gosec // A bench on loopback needs no time-outs.
+	return http.Serve(l, passthrough.New(arguments[0])) //nolint:gosec // A benchmark on loopback needs no timeouts.
 }
--- a/bench/cmd/soak/main.go
+++ b/bench/cmd/soak/main.go
@@ -4,8 +4,8 @@
 //
 //	soak --seeds 50 --from 1 --for 30s --nodes 6
 //
-// It prints a line for each seed and ends with 1 if a promise was broken. Logs of
-// the nodes stay in a folder for each seed that failed.
+// It prints a line for each seed and exits with status 1 if any seed had violations. It
+// keeps the nodes' logs of failed seeds, in a folder for each.
 package main
 
 import (
@@ -34,10 +34,10 @@
 	from := c.Flags().Uint64("from", 1, "the first seed")
 	length := c.Flags().Duration("for", 20*time.Second, "how long faults are injected")
 	nodes := c.Flags().Int("nodes", 6, "how many nodes")
-	accounts := c.Flags().Bool("accounts", false, "callers show keys of client accounts, one of them over its limit")
-	ending := c.Flags().Bool("ending", false, "requests come under which upstreams end")
+	accounts := c.Flags().Bool("accounts", false, "callers send keys of client accounts, one of them over its limit")
+	ending := c.Flags().Bool("ending", false, "send requests that crash the upstreams which run them")
 	operator := c.Flags().Bool("operator", false, "data centres are evacuated, and the store is restored from a copy")
-	uploads := c.Flags().Bool("uploads", false, "orders have large bodies, of which some come slowly")
+	uploads := c.Flags().Bool("uploads", false, "some orders have large bodies that are sent slowly")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		dir, err := os.MkdirTemp("", "eiderfold-soak")
 		if err != nil {
@@ -49,24 +49,24 @@
 		}
 		failed := 0
 		for seed := *from; seed < *from+*seeds; seed++ {
-			bad, err := play(c, soak.Options{Program: program, Dir: filepath.Join(dir, fmt.Sprint(seed)), Seed: seed, For: *length, Nodes: *nodes, Accounts: *accounts, Ending: *ending, Operator: *operator, Uploads: *uploads})
+			violated, err := runSeed(c, soak.Options{Program: program, Dir: filepath.Join(dir, fmt.Sprint(seed)), Seed: seed, For: *length, Nodes: *nodes, Accounts: *accounts, Ending: *ending, Operator: *operator, Uploads: *uploads})
 			if err != nil {
 				return err
 			}
-			if bad {
+			if violated {
 				failed++
 			}
 		}
 		if failed > 0 {
-			return errors.Errorf("%d of %d seeds broke a promise; logs are in %s", failed, *seeds, dir)
+			return errors.Errorf("violations in %d of %d seeds; logs are in %s", failed, *seeds, dir)
 		}
 		return os.RemoveAll(dir)
 	}
 	return c
 }
 
-// play runs one seed and prints what it found.
-func play(c *cobra.Command, o soak.Options) (bad bool, err error) {
+// runSeed runs one seed, prints the result and reports whether there were violations.
+func runSeed(c *cobra.Command, o soak.Options) (violated bool, err error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return false, errors.Wrap(err, "folder")
 	}
--- a/bench/cmd/standin/main.go
+++ b/bench/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs one of the stand-ins as a process of its own.
+// Command standin runs one of the stand-ins in its own process.
 //
 // # Usage
 //
@@ -52,7 +52,7 @@
 	var o standin.UpstreamOptions
 	c := &cobra.Command{Use: "upstream"}
 	c.Flags().StringVar(&o.Name, "name", "upstream", "name in its answers")
-	c.Flags().IntVar(&o.Slots, "slots", 9, "requests it works on at once")
+	c.Flags().IntVar(&o.Slots, "slots", 9, "requests it serves concurrently")
 	c.Flags().DurationVar(&o.Work, "work", 20*time.Millisecond, "median time of a request")
 	c.Flags().Float64Var(&o.Sigma, "sigma", 0.5, "spread of the time's logarithm")
 	c.Flags().StringVar(&o.Log, "log", "", "file to append every start to")
@@ -69,7 +69,8 @@
 
 const drain = 10 * time.Second
 
-// serve runs until the process is told to stop, and finishes what is in flight.
+// serve runs until the command's context ends, and then waits up to drain for requests in
+// flight.
 func serve(c *cobra.Command, address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/bench/cmd/trial/capacity.go
+++ b/bench/cmd/trial/capacity.go
@@ -16,13 +16,13 @@
 	"eiderfold/bench/fleet"
 )
 
-// point is one measurement: a quantity at a size.
+// point is one measurement: quantity Y at size X.
 type point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// slope is a quantity measured at several sizes, with the straight line through it.
+// slope is a quantity measured at several sizes, with a linear fit.
 type slope struct {
 	Role      string  `json:"role"`
 	Quantity  string  `json:"quantity"`
@@ -33,7 +33,7 @@
 	R2        float64 `json:"r2"`
 	// Spread is the root mean square distance of the points from the line.
 	Spread float64 `json:"spread"`
-	// Target is the size in the letter, for one node, and At what the line gives.
+	// Target is the required size for one node, and At the value of the fit there.
 	Target float64 `json:"target"`
 	At     float64 `json:"at_target"`
 }
@@ -48,7 +48,7 @@
 	s.Intercept, s.Slope = stat.LinearRegression(xs, ys, nil, false)
 	s.R2 = stat.RSquared(xs, ys, nil, s.Intercept, s.Slope)
 	if math.IsNaN(s.R2) {
-		s.R2 = 1 // All points are the same, and the line goes through them.
+		s.R2 = 1 // All values are equal, so the fit is exact.
 	}
 	squares := 0.0
 	for i := range xs {
@@ -59,15 +59,15 @@
 	s.At = s.Intercept + s.Slope*s.Target
 }
 
-// The letter's sizes for one group and node: 3,600 nodes, 36,000 upstreams, 720
-// services and 340,000 accounts in some 360 templates.
+// Required sizes for one group and node, from a total of 3,600 nodes, 36,000 upstreams,
+// 720 services and 340,000 accounts in some 360 templates.
 const (
 	targetNodes     = 10
 	targetUpstreams = 100
-	targetAccounts  = 945 // Of a template; a node holds one template's.
-	targetRoutes    = 28  // Of a template.
-	targetRate      = 264 // Requests a second through one node.
-	targetClaims    = 238_000
+	targetAccounts  = 945     // Of one template; a node holds the accounts of one.
+	targetRoutes    = 28      // Of one template.
+	targetRate      = 264     // Requests a second through one node.
+	targetClaims    = 238_000 // Keyed operations in the window.
 )
 
 func capacityCommand() *cobra.Command {
@@ -86,7 +86,7 @@
 			return err
 		}
 		defer m.close()
-		slopes, err := m.all(c.Context())
+		slopes, err := m.measureAll(c.Context())
 		if err != nil {
 			return err
 		}
@@ -104,14 +104,14 @@
 	return c
 }
 
-// meter runs fleets of several sizes.
+// meter measures fleets of several sizes.
 type meter struct {
-	dir      string
-	binaries fleet.Binaries
-	nodes    []int
-	ups      []int
-	rates    []int
-	length   time.Duration
+	dir       string
+	binaries  fleet.Binaries
+	nodes     []int
+	upstreams []int
+	rates     []int         // Requests a second for each node.
+	length    time.Duration // Of one measurement.
 }
 
 func newMeter(quick bool) (*meter, error) {
@@ -119,9 +119,9 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "capacity")
 	}
-	m := &meter{dir: dir, nodes: []int{2, 5, 10, 20, 40}, ups: []int{5, 20, 50, 100}, rates: []int{10, 50, 100, 200}, length: 10 * time.Second}
+	m := &meter{dir: dir, nodes: []int{2, 5, 10, 20, 40}, upstreams: []int{5, 20, 50, 100}, rates: []int{10, 50, 100, 200}, length: 10 * time.Second}
 	if quick {
-		m.nodes, m.ups, m.rates, m.length = []int{2, 5, 10}, []int{5, 20}, []int{10, 50}, 5*time.Second
+		m.nodes, m.upstreams, m.rates, m.length = []int{2, 5, 10}, []int{5, 20}, []int{10, 50}, 5*time.Second
 	}
 	m.binaries, err = fleet.Build(dir)
 	return m, err
@@ -129,7 +129,7 @@
 
 func (m *meter) close() { _ = os.RemoveAll(m.dir) }
 
-func (m *meter) all(ctx context.Context) ([]*slope, error) {
+func (m *meter) measureAll(ctx context.Context) ([]*slope, error) {
 	var slopes []*slope
 	byNodes, err := m.byNodes(ctx)
 	if err != nil {
@@ -146,15 +146,15 @@
 	slopes = append(slopes, byNodes...)
 	slopes = append(slopes, byUpstreams...)
 	slopes = append(slopes, byRate...)
-	return append(slopes, inProcess()...), nil
+	return append(slopes, measureInProcess()...), nil
 }
 
-// resting is what an idle fleet uses, by role.
-type resting struct {
-	leaderCPU, followerCPU     float64 // Share of a core, in percent.
-	leaderBytes, followerBytes float64 // A second, both ways.
+// roleUsage is the resource usage of a fleet, by role.
+type roleUsage struct {
+	leaderCPU, followerCPU     float64 // Percent of a core.
+	leaderBytes, followerBytes float64 // Control bytes a second, sent and received.
 	leaderRSS, followerRSS     float64 // MB.
-	calls                      float64 // Of the platform a second, waiting watches included.
+	calls                      float64 // Platform calls a second, including pending watches.
 }
 
 func (m *meter) start(ctx context.Context, s fleet.Shape) (*fleet.Fleet, error) {
@@ -174,17 +174,18 @@
 	percent    = 100
 )
 
-// rest measures a fleet for a while, with a load or without.
-func (m *meter) rest(f *fleet.Fleet, rate int) (resting, error) {
+// measureRoles measures a fleet for m.length, with the given rate for each node; 0 leaves
+// it idle.
+func (m *meter) measureRoles(f *fleet.Fleet, rate int) (roleUsage, error) {
 	time.Sleep(settleTime)
 	leader := f.Coordinator()
 	if leader == nil {
-		return resting{}, errors.New("the fleet has no coordinator")
+		return roleUsage{}, errors.New("the fleet has no coordinator")
 	}
-	before, started := measure(f), time.Now()
+	before, started := measureUsage(f), time.Now()
 	calls, err := f.PlatformCounts()
 	if err != nil {
-		return resting{}, err
+		return roleUsage{}, err
 	}
 	if rate == 0 {
 		time.Sleep(m.length)
@@ -192,12 +193,12 @@
 		s := &scenario{Rate: float64(rate) * float64(len(f.Nodes)) / float64(len(f.Upstreams))}
 		newLoad(f, s, 1).attack(m.length, func(*vegeta.Result) {})
 	}
-	after := measure(f).since(before, time.Since(started))
+	after := measureUsage(f).since(before, time.Since(started))
 	now, err := f.PlatformCounts()
 	if err != nil {
-		return resting{}, err
+		return roleUsage{}, err
 	}
-	r := resting{calls: float64(now.Reads+now.Writes+now.Watches-calls.Reads-calls.Writes-calls.Watches) / time.Since(started).Seconds()}
+	r := roleUsage{calls: float64(now.Reads+now.Writes+now.Watches-calls.Reads-calls.Writes-calls.Watches) / time.Since(started).Seconds()}
 	followers := 0.0
 	for i, n := range f.Nodes {
 		if n == leader {
@@ -214,17 +215,18 @@
 	return r, nil
 }
 
-// roles makes the slopes that every row of sizes gives.
-func roles(per string, target float64) (all []*slope, add func(x float64, r resting)) {
-	make := func(role, quantity string) *slope {
+// roleSlopes returns the slopes common to all series of sizes, and a function that adds a
+// measurement to each of them.
+func roleSlopes(per string, target float64) (all []*slope, add func(x float64, r roleUsage)) {
+	newSlope := func(role, quantity string) *slope {
 		s := &slope{Role: role, Quantity: quantity, Per: per, Target: target}
 		all = append(all, s)
 		return s
 	}
-	leaderCPU, leaderBytes, leaderRSS := make("coordinator", "cpu_percent_of_core"), make("coordinator", "bytes_per_s"), make("coordinator", "rss_mb")
-	followerCPU, followerBytes, followerRSS := make("other node", "cpu_percent_of_core"), make("other node", "bytes_per_s"), make("other node", "rss_mb")
-	calls := make("group", "platform_calls_per_s")
-	return all, func(x float64, r resting) {
+	leaderCPU, leaderBytes, leaderRSS := newSlope("coordinator", "cpu_percent_of_core"), newSlope("coordinator", "bytes_per_s"), newSlope("coordinator", "rss_mb")
+	followerCPU, followerBytes, followerRSS := newSlope("other node", "cpu_percent_of_core"), newSlope("other node", "bytes_per_s"), newSlope("other node", "rss_mb")
+	calls := newSlope("group", "platform_calls_per_s")
+	return all, func(x float64, r roleUsage) {
 		leaderCPU.add(x, r.leaderCPU)
 		leaderBytes.add(x, r.leaderBytes)
 		leaderRSS.add(x, r.leaderRSS)
@@ -244,36 +246,36 @@
 )
 
 func (m *meter) byNodes(ctx context.Context) ([]*slope, error) {
-	all, add := roles("node of the group", targetNodes)
-	force := &slope{Role: "configuration", Quantity: "ms_until_in_force_everywhere_max", Per: "node of the group", Target: targetNodes}
-	starts := &slope{Role: "group", Quantity: "platform_calls_per_restart", Per: "node of the group", Target: targetNodes}
+	all, add := roleSlopes("node of the group", targetNodes)
+	inForce := &slope{Role: "configuration", Quantity: "ms_until_in_force_everywhere_max", Per: "node of the group", Target: targetNodes}
+	restarts := &slope{Role: "group", Quantity: "platform_calls_per_restart", Per: "node of the group", Target: targetNodes}
 	for _, n := range m.nodes {
 		f, err := m.start(ctx, fleet.Shape{Nodes: n, Upstreams: fixedUpstreams, Slots: 9, Work: loadedWork, Accounts: someAccounts})
 		if err != nil {
 			return nil, err
 		}
-		r, err := m.rest(f, 0)
+		r, err := m.measureRoles(f, 0)
 		if err == nil {
 			add(float64(n), r)
 			var worst float64
 			worst, err = m.publish(f)
-			force.add(float64(n), worst)
+			inForce.add(float64(n), worst)
 		}
 		if err == nil {
 			var calls float64
 			calls, err = m.restart(ctx, f)
-			starts.add(float64(n), calls)
+			restarts.add(float64(n), calls)
 		}
 		f.Close()
 		if err != nil {
 			return nil, err
 		}
 	}
-	return append(all, force, starts), nil
+	return append(all, inForce, restarts), nil
 }
 
-// restart kills a node that does not coordinate, runs it again, and returns how
-// many calls of the platform that took.
+// restart kills a node that is not the coordinator, starts it again, and returns the number
+// of platform calls in the meantime.
 func (m *meter) restart(ctx context.Context, f *fleet.Fleet) (float64, error) {
 	n := f.Nodes[0]
 	if n == f.Coordinator() {
@@ -295,8 +297,8 @@
 	return float64(after.Reads + after.Watches + after.Writes - before.Reads - before.Watches - before.Writes), err
 }
 
-// publish changes accounts one after the other and returns the longest time, in
-// milliseconds, from the acceptance until the last node had a change in force.
+// publish adds accounts one by one and returns the longest time, in milliseconds, from
+// the acceptance of a change until it was in force on every node.
 func (m *meter) publish(f *fleet.Fleet) (float64, error) {
 	worst := 0.0
 	for i := range publishes {
@@ -326,13 +328,13 @@
 }
 
 func (m *meter) byUpstreams(ctx context.Context) ([]*slope, error) {
-	all, add := roles("upstream of the group", targetUpstreams)
-	for _, u := range m.ups {
+	all, add := roleSlopes("upstream of the group", targetUpstreams)
+	for _, u := range m.upstreams {
 		f, err := m.start(ctx, fleet.Shape{Nodes: fixedNodes, Upstreams: u, Slots: 9, Work: loadedWork, Accounts: someAccounts})
 		if err != nil {
 			return nil, err
 		}
-		r, err := m.rest(f, 0)
+		r, err := m.measureRoles(f, 0)
 		f.Close()
 		if err != nil {
 			return nil, err
@@ -342,16 +344,16 @@
 	return all, nil
 }
 
-// byRate shows what traffic adds to the messages; the processor time includes the
-// requests themselves and so says nothing about control.
+// byRate returns how control messages grow with traffic. It omits CPU time, which includes
+// the time spent on the requests themselves.
 func (m *meter) byRate(ctx context.Context) ([]*slope, error) {
-	all, add := roles("request/s through a node", targetRate)
+	all, add := roleSlopes("request/s through a node", targetRate)
 	for _, rate := range m.rates {
 		f, err := m.start(ctx, fleet.Shape{Nodes: fixedNodes, Upstreams: 50, Slots: 9, Work: loadedWork, Accounts: someAccounts})
 		if err != nil {
 			return nil, err
 		}
-		r, err := m.rest(f, rate)
+		r, err := m.measureRoles(f, rate)
 		f.Close()
 		if err != nil {
 			return nil, err
--- a/bench/cmd/trial/load.go
+++ b/bench/cmd/trial/load.go
@@ -21,16 +21,16 @@
 	loadWorkers = 64
 )
 
-// load draws requests. Every one carries a mark in its URL and header, by which
-// its answer is known to be its own, and a keyed one its key.
+// load generates random requests. Each carries a mark in its URL and header that identifies
+// its response; the URL of a keyed one also holds its key.
 type load struct {
-	fleet    *fleet.Fleet
-	scenario *scenario
-	random   *rand.Rand
-	accounts []string
-	number   int
-	again    *vegeta.Target // The second sending of the last keyed operation.
-	seed     int
+	fleet     *fleet.Fleet
+	scenario  *scenario
+	random    *rand.Rand
+	accounts  []string
+	number    int
+	duplicate *vegeta.Target // Copy of the last keyed operation, to send next; nil if none.
+	seed      int
 }
 
 func newLoad(f *fleet.Fleet, s *scenario, seed int) *load {
@@ -44,50 +44,51 @@
 
 // next implements vegeta.Targeter.
 func (l *load) next(t *vegeta.Target) error {
-	if l.again != nil {
-		*t = *l.again
-		l.again = nil
+	if l.duplicate != nil {
+		*t = *l.duplicate
+		l.duplicate = nil
 		return nil
 	}
 	l.number++
 	d := l.fleet.Deployment
-	service := d.Services[l.service()]
+	service := d.Services[l.randomService()]
 	account := l.accounts[l.random.IntN(len(l.accounts))]
 	mark := fmt.Sprintf("%d-%d", l.seed, l.number)
 	t.Header = http.Header{"X-Mark": {mark}}
 	t.Method, t.Body = http.MethodGet, nil
 	path := service.Lookup
 	query := "m=" + mark
-	if l.random.Float64() < l.scenario.Keyed {
+	if l.random.Float64() < l.scenario.KeyedShare {
 		t.Method, t.Body = http.MethodPost, []byte("entry "+mark)
 		path = service.Order
 		key := newKey()
 		t.Header.Set("Idempotency-Key", key)
 		query += "&k=" + key
 	}
-	t.URL = l.at(account, path, query)
-	if t.Method == http.MethodPost && l.random.Float64() < l.scenario.Twice {
-		again := *t
-		again.URL = l.at(account, path, query)
-		l.again = &again
+	t.URL = l.targetURL(account, path, query)
+	if t.Method == http.MethodPost && l.random.Float64() < l.scenario.DuplicateShare {
+		duplicate := *t
+		duplicate.URL = l.targetURL(account, path, query)
+		l.duplicate = &duplicate
 	}
 	return nil
 }
 
-// newKey makes a key as callers are advised to: it begins with its time.
+// newKey returns an idempotency key of the recommended form: a UUIDv7, which begins with
+// its time.
 func newKey() string {
 	id, err := uuid.NewV7()
 	if err != nil {
-		panic(err) // The system has no randomness; nothing could go on.
+		panic(err) // The system has no source of randomness.
 	}
 	return id.String()
 }
 
-// at puts a request to some node that runs.
-func (l *load) at(account, path, query string) string {
+// targetURL returns the URL of a request to a random running node.
+func (l *load) targetURL(account, path, query string) string {
 	nodes := l.fleet.Nodes
 	n := nodes[l.random.IntN(len(nodes))]
-	for range len(nodes) { // None may run any more when a trial is ended early.
+	for range len(nodes) { // Bounded, since no node may run when a trial is cancelled.
 		if n.Running() {
 			break
 		}
@@ -96,8 +97,8 @@
 	return "http://" + n.Callers() + "/" + account + "/" + path + "?" + query
 }
 
-// service draws a service in proportion to its upstreams.
-func (l *load) service() int {
+// randomService returns the index of a random service, weighted by its upstreams.
+func (l *load) randomService() int {
 	x := l.random.IntN(len(l.fleet.Upstreams))
 	for i, s := range l.fleet.Deployment.Services {
 		if x -= s.Upstreams; x < 0 {
@@ -107,26 +108,26 @@
 	return 0
 }
 
-// attack sends the load and gives every result to take.
-func (l *load) attack(length time.Duration, take func(*vegeta.Result)) {
+// attack sends the load and calls handle for each result.
+func (l *load) attack(length time.Duration, handle func(*vegeta.Result)) {
 	rate := vegeta.Rate{Freq: int(l.scenario.Rate * float64(len(l.fleet.Upstreams)) * 10), Per: 10 * time.Second}
 	a := vegeta.NewAttacker(vegeta.Timeout(loadTimeout), vegeta.Workers(loadWorkers), vegeta.KeepAlive(true), vegeta.Connections(loadWorkers))
 	for r := range a.Attack(l.next, rate, length, "trial") {
-		take(r)
+		handle(r)
 	}
 }
 
-// verdict is what a result says.
-type verdict struct {
-	ok      bool // A good answer, whole and its own.
-	wrong   bool // Taken for a good answer, and not whole or not its own.
+// classification is the interpretation of a result.
+type classification struct {
+	ok      bool // Successful, complete and for this request.
+	wrong   bool // Successful by its status, but truncated or for another request.
 	notRun  bool
 	unknown bool
 	key     string
 }
 
-func judge(r *vegeta.Result) verdict {
-	v := verdict{}
+func classify(r *vegeta.Result) classification {
+	v := classification{}
 	if u, err := url.Parse(r.URL); err == nil {
 		v.key = u.Query().Get("k")
 		mark := u.Query().Get("m")
@@ -145,7 +146,7 @@
 	return v
 }
 
-// intact checks an answer's mark and checksum.
+// intact checks a response's mark and checksum.
 func intact(body, mark string) bool {
 	i := strings.LastIndexByte(body, ' ')
 	if i < 0 || !strings.HasPrefix(body, mark+" ") {
--- a/bench/cmd/trial/main.go
+++ b/bench/cmd/trial/main.go
@@ -1,5 +1,5 @@
-// Command trial runs a deployment as real processes through a scenario, against
-// named policies in one run, and prints what was measured.
+// Command trial runs a deployment as real processes through a scenario, once for each
+// policy and seed, and prints the measurements.
 //
 // # Usage
 //
@@ -7,7 +7,7 @@
 //	go run ./bench/cmd/trial -deployment tartu -policy ours,consecutive
 //	go run ./bench/cmd/trial capacity
 //
-// Run it in the workspace's root. Without a scenario it runs all of them.
+// Run it in the workspace root. Without -scenario it runs all scenarios.
 package main
 
 import (
@@ -28,10 +28,10 @@
 )
 
 const (
-	folder     = "bench"
-	ours       = "ours"
-	allOfThem  = "ours,none,consecutive,deviation"
-	processCap = 2 // Fleets at a time.
+	benchDir    = "bench"
+	ours        = "ours"
+	allPolicies = "ours,none,consecutive,deviation"
+	maxFleets   = 2 // Fleets that run concurrently, by default.
 )
 
 func main() {
@@ -45,7 +45,7 @@
 	}
 }
 
-// longFlags takes -name for --name.
+// longFlags rewrites -name to --name.
 func longFlags(arguments []string) []string {
 	for i, a := range arguments {
 		if strings.HasPrefix(a, "-") && !strings.HasPrefix(a, "--") && len(a) > 2 {
@@ -71,24 +71,24 @@
 	f := c.Flags()
 	f.StringVar(&o.deployment, "deployment", "montevideo", "montevideo or tartu")
 	f.StringVar(&o.scenario, "scenario", "", "scenario file; all of them if empty")
-	f.StringVar(&o.policies, "policy", allOfThem, "policies, by comma")
+	f.StringVar(&o.policies, "policy", allPolicies, "comma-separated policies")
 	f.IntVar(&o.seeds, "seeds", 1, "how many seeds")
 	f.BoolVar(&o.asJSON, "json", false, "one JSON object a line, instead of a table")
 	f.StringVar(&o.keep, "keep", "", "folder to keep the logs in")
-	f.IntVar(&o.parallel, "parallel", processCap, "fleets at a time")
+	f.IntVar(&o.parallel, "parallel", maxFleets, "fleets at a time")
 	c.RunE = func(c *cobra.Command, _ []string) error { return o.run(c) }
 	c.AddCommand(capacityCommand(), speedCommand(), sensitivityCommand())
 	return c
 }
 
 func (o *options) run(c *cobra.Command) error {
-	d, err := fleet.ReadDeployment(filepath.Join(folder, "deployments", o.deployment+".yaml"))
+	d, err := fleet.ReadDeployment(filepath.Join(benchDir, "deployments", o.deployment+".yaml"))
 	if err != nil {
 		return err
 	}
 	files := []string{o.scenario}
 	if o.scenario == "" {
-		if files, err = filepath.Glob(filepath.Join(folder, "scenarios", "*.yaml")); err != nil {
+		if files, err = filepath.Glob(filepath.Join(benchDir, "scenarios", "*.yaml")); err != nil {
 			return errors.Wrap(err, "scenarios")
 		}
 	}
@@ -96,7 +96,7 @@
 	if err != nil {
 		return errors.Wrap(err, "trial")
 	}
-	defer os.RemoveAll(dir) //nolint:errcheck // A leftover in the temporary folder does no harm.
+	defer os.RemoveAll(dir) //nolint:errcheck // A leftover in the temporary folder is harmless.
 	binaries, err := fleet.Build(dir)
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// compare runs a scenario under each policy with each seed.
+// compare runs a scenario with each policy and seed, and prints a report for each policy.
 func (o *options) compare(c *cobra.Command, b fleet.Binaries, d *fleet.Deployment, s *scenario, dir string) error {
 	policies := strings.Split(o.policies, ",")
 	reports := make([]*report, len(policies))
@@ -163,7 +163,7 @@
 		return errors.Wrap(json.NewEncoder(w).Encode(r), "print")
 	}
 	_, err := fmt.Fprintf(w, "%-11s %-22s %-12s detection ms p50 %6.0f p99 %6.0f of %d  false %3d lost %5.1fs  floor %d  doubled %d untrue %d wrong %d  answered %.4f  p99 ms %.0f/%.0f  work %.2f  %v\n",
-		r.Deployment, r.Scenario, r.Policy, r.DetectionP50, r.DetectionP99, r.Detections, r.FalseEjections, r.HealthyLost, r.FloorBreaches,
-		r.Doubled, r.NotRunButRan, r.WrongOrCut, r.Answered, r.HealthyP99, r.SickP99, r.WorkRatio, r.Results)
+		r.Deployment, r.Scenario, r.Policy, r.DetectionP50, r.DetectionP99, r.Detections, r.FalseEjections, r.HealthySecondsLost, r.FloorBreaches,
+		r.DuplicateRuns, r.NotRunButRan, r.WrongOrTruncated, r.Answered, r.HealthyP99, r.FaultP99, r.WorkRatio, r.Results)
 	return errors.Wrap(err, "print")
 }
--- a/bench/cmd/trial/memory.go
+++ b/bench/cmd/trial/memory.go
@@ -10,8 +10,8 @@
 	"eiderfold/core"
 )
 
-// inProcess measures state that needs no other process.
-func inProcess() []*slope {
+// measureInProcess measures quantities that need no other process.
+func measureInProcess() []*slope {
 	accounts := &slope{Role: "configuration", Quantity: "heap_kb", Per: "client account", Target: targetAccounts}
 	for _, n := range []int{1000, 5000, 20_000, 50_000} {
 		accounts.add(float64(n), accountHeap(n))
@@ -24,30 +24,30 @@
 	for _, n := range []int{10_000, 50_000, 100_000, 200_000} {
 		claims.add(float64(n), heapOf(func() any { return filledClaims(n) }))
 	}
-	judge := &slope{Role: "coordinator", Quantity: "us_per_heartbeat_of_evidence", Per: "upstream with counts", Target: targetUpstreams}
+	evidence := &slope{Role: "coordinator", Quantity: "us_per_heartbeat_of_evidence", Per: "upstream with counts", Target: targetUpstreams}
 	for _, n := range []int{5, 20, 50, 100} {
-		judge.add(float64(n), judgeTime(n))
+		evidence.add(float64(n), evidenceTime(n))
 	}
-	return []*slope{accounts, routes, claims, judge}
+	return []*slope{accounts, routes, claims, evidence}
 }
 
 const kilobyte = 1024
 
-// collect also frees what pools held at the first collection.
-func collect() {
+// runGC collects garbage twice: the second collection frees objects from sync.Pools.
+func runGC() {
 	runtime.GC()
 	runtime.GC()
 }
 
-// heapOf returns the kilobytes that what make returns holds.
-func heapOf(make func() any) float64 {
+// heapOf returns the heap size, in kilobytes, of the value that build returns.
+func heapOf(build func() any) float64 {
 	var before, after runtime.MemStats
-	collect()
+	runGC()
 	runtime.ReadMemStats(&before)
-	kept := make()
-	collect()
+	value := build()
+	runGC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(value)
 	return float64(int64(after.HeapAlloc)-int64(before.HeapAlloc)) / kilobyte
 }
 
@@ -79,7 +79,7 @@
 		for _, key := range sortedKeys(shards) {
 			value, err := shards[key].Encode()
 			if err != nil {
-				break // More accounts than a value holds; the sizes here stay under that.
+				break // The shard exceeds the size limit of a value; the sizes here do not.
 			}
 			_, _ = h.Apply(key, value)
 		}
@@ -112,8 +112,8 @@
 	return c
 }
 
-// judgeTime returns the microseconds that one node's evidence takes.
-func judgeTime(n int) float64 {
+// evidenceTime returns the microseconds to process one node's evidence for n upstreams.
+func evidenceTime(n int) float64 {
 	const times = 2000
 	j := core.NewJudge(core.Policy{Floor: n / 2, Sensitivity: 0.01})
 	at := time.Unix(1000, 0)
--- a/bench/cmd/trial/plot.go
+++ b/bench/cmd/trial/plot.go
@@ -13,8 +13,8 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// plotSlopes draws each quantity that grows with the group's nodes, as a share of
-// its value at the largest size, so that one picture holds them.
+// plotSlopes plots each quantity that grows with the group's nodes, as a share of its
+// budget, so that all fit into one plot.
 func plotSlopes(file string, slopes []*slope) error {
 	p := plot.New()
 	p.Title.Text = "What one node uses, by the size of its group (idle)"
--- a/bench/cmd/trial/run.go
+++ b/bench/cmd/trial/run.go
@@ -17,28 +17,28 @@
 	"eiderfold/bench/standin"
 )
 
-// outcome is what one run measured.
+// outcome holds the measurements of one run.
 type outcome struct {
 	results    []sample
-	detections []float64 // Milliseconds; the length of the fault if never.
+	detections []float64 // Milliseconds; the length of the fault if undetected.
 	missed     int
 	watch      *watcher
-	starts     map[string]int // By key.
+	starts     map[string]int // Starts at upstreams by idempotency key.
 	work       float64        // Work started over requests sent.
 	platform   standin.PlatformCounts
 	usage      usage
 	length     time.Duration
 }
 
-// sample is one result, and when it was sent after the start of the load.
+// sample is one result.
 type sample struct {
-	at      time.Duration
-	latency time.Duration
-	verdict verdict
-	result  string
+	at             time.Duration // When it was sent, after the start of the load.
+	latency        time.Duration
+	classification classification
+	result         string
 }
 
-// round is a time of the run in which something was wrong.
+// round is the period of one fault, relative to the start of the load.
 type round struct{ from, to time.Duration }
 
 func runOnce(ctx context.Context, b fleet.Binaries, d *fleet.Deployment, s *scenario, policy string, seed, slot int, dir string) (*outcome, error) {
@@ -80,21 +80,21 @@
 		return nil, err
 	}
 	started := time.Now()
-	spent := measure(r.fleet)
+	usageBefore := measureUsage(r.fleet)
 	r.outcome.watch = newWatcher(r.fleet)
 	watching, stop := context.WithCancel(ctx)
 	defer stop()
 	go r.outcome.watch.run(watching)
-	failed := make(chan error, 1)
-	go func() { failed <- r.disturb(ctx, started) }()
+	injected := make(chan error, 1)
+	go func() { injected <- r.injectFaults(ctx, started) }()
 	newLoad(r.fleet, r.scenario, seed).attack(r.scenario.length(), func(v *vegeta.Result) {
-		r.outcome.results = append(r.outcome.results, sample{at: v.Timestamp.Sub(started), latency: v.Latency, verdict: judge(v), result: resultOf(v)})
+		r.outcome.results = append(r.outcome.results, sample{at: v.Timestamp.Sub(started), latency: v.Latency, classification: classify(v), result: resultText(v)})
 	})
-	if err := <-failed; err != nil {
+	if err := <-injected; err != nil {
 		return nil, err
 	}
 	stop()
-	r.outcome.usage = measure(r.fleet).since(spent, time.Since(started))
+	r.outcome.usage = measureUsage(r.fleet).since(usageBefore, time.Since(started))
 	if r.outcome.platform, err = r.fleet.PlatformCounts(); err != nil {
 		return nil, err
 	}
@@ -104,8 +104,8 @@
 	return r.outcome, r.countStarts()
 }
 
-// resultOf names how a request ended.
-func resultOf(v *vegeta.Result) string {
+// resultText names the result of a request.
+func resultText(v *vegeta.Result) string {
 	if number := v.Headers.Get("Eiderfold-Result"); number != "" {
 		return number + "/" + strconv.Itoa(int(v.Code))
 	}
@@ -115,28 +115,28 @@
 	return strconv.Itoa(int(v.Code))
 }
 
-// disturb lets things go wrong, round by round.
-func (r *runner) disturb(ctx context.Context, started time.Time) error {
+// injectFaults injects the scenario's faults, one round after the other.
+func (r *runner) injectFaults(ctx context.Context, started time.Time) error {
 	s := r.scenario
-	time.Sleep(s.Warm)
+	time.Sleep(s.Warmup)
 	for i := range s.Rounds {
 		victims := r.victims(i)
 		from := time.Since(started)
-		if err := r.begin(ctx, i, victims); err != nil {
+		if err := r.startFault(ctx, i, victims); err != nil {
 			return err
 		}
-		time.Sleep(s.Sick)
-		r.detect(victims)
-		if err := r.end(ctx, i, victims); err != nil {
+		time.Sleep(s.FaultFor)
+		r.recordDetections(victims)
+		if err := r.endFault(ctx, i, victims); err != nil {
 			return err
 		}
 		r.rounds = append(r.rounds, round{from: from, to: time.Since(started)})
-		time.Sleep(s.Rest)
+		time.Sleep(s.Recovery)
 	}
 	return nil
 }
 
-// victims names the upstreams that are sick in a round.
+// victims returns the names of the upstreams that are faulty in a round.
 func (r *runner) victims(round int) []string {
 	service := r.fleet.Deployment.Services[r.scenario.Service]
 	n := r.scenario.Victims
@@ -150,9 +150,9 @@
 	return names
 }
 
-func (r *runner) begin(ctx context.Context, i int, victims []string) error {
-	if !r.scenario.Blameless {
-		r.outcome.watch.sick(victims)
+func (r *runner) startFault(ctx context.Context, i int, victims []string) error {
+	if !r.scenario.NoEjection {
+		r.outcome.watch.markFaulty(victims)
 	}
 	if err := r.setLinks(victims); err != nil {
 		return err
@@ -162,8 +162,8 @@
 			return err
 		}
 	}
-	if r.scenario.Node != "" {
-		go r.disturbNode(ctx, r.fleet.Nodes[i%len(r.fleet.Nodes)])
+	if r.scenario.NodeFault != "" {
+		go r.injectNodeFault(ctx, r.fleet.Nodes[i%len(r.fleet.Nodes)])
 	}
 	for _, v := range victims {
 		if r.scenario.Replace {
@@ -180,15 +180,15 @@
 
 const pauseLength = 5 * time.Second
 
-func (r *runner) disturbNode(ctx context.Context, n *fleet.Node) {
-	switch r.scenario.Node {
+func (r *runner) injectNodeFault(ctx context.Context, n *fleet.Node) {
+	switch r.scenario.NodeFault {
 	case "kill":
 		n.Kill()
 	case "stop":
 		n.Stop()
 	case "pause":
 		_ = n.Signal(syscall.SIGSTOP)
-		time.Sleep(min(pauseLength, r.scenario.Sick))
+		time.Sleep(min(pauseLength, r.scenario.FaultFor))
 		_ = n.Signal(syscall.SIGCONT)
 		return
 	}
@@ -218,7 +218,7 @@
 	return r.fleet.SetRules(append(rules, r.fleet.CutOff(r.scenario.DataCentre)...))
 }
 
-func (r *runner) end(_ context.Context, _ int, victims []string) error {
+func (r *runner) endFault(_ context.Context, _ int, victims []string) error {
 	for _, v := range victims {
 		if err := r.fleet.SetMode(v, standin.Mode{}); err != nil {
 			return err
@@ -234,12 +234,12 @@
 
 const (
 	detectionWindow = 1000 // Milliseconds.
-	detectedShare   = 0.2  // Of what the upstream got while it was well.
+	detectedShare   = 0.2  // Of the rate of a healthy upstream.
 )
 
-// detect tells from when on a sick upstream got next to no work.
-func (r *runner) detect(victims []string) {
-	if r.scenario.Victims <= 0 || r.scenario.Blameless || len(r.scenario.Links) > 0 {
+// recordDetections records when each faulty upstream stopped receiving most requests.
+func (r *runner) recordDetections(victims []string) {
+	if r.scenario.Victims <= 0 || r.scenario.NoEjection || len(r.scenario.Links) > 0 {
 		return
 	}
 	for _, v := range victims {
@@ -247,7 +247,7 @@
 		if err != nil {
 			continue
 		}
-		at, ok := detected(c.Hits, r.scenario.Rate, r.scenario.Sick.Milliseconds())
+		at, ok := detectionTime(c.Hits, r.scenario.Rate, r.scenario.FaultFor.Milliseconds())
 		r.outcome.detections = append(r.outcome.detections, at)
 		if !ok {
 			r.outcome.missed++
@@ -255,12 +255,13 @@
 	}
 }
 
-// detected returns the first moment after which a window holds few hits.
-func detected(hits []int64, rate float64, sick int64) (float64, bool) {
-	most := int(rate * detectionWindow / 1000 * detectedShare)
+// detectionTime returns the start, in milliseconds, of the first window with few hits, and
+// whether there is one before the fault ends.
+func detectionTime(hits []int64, rate float64, faultMillis int64) (float64, bool) {
+	maxHits := int(rate * detectionWindow / 1000 * detectedShare)
 	candidates := append([]int64{0}, hits...)
 	for i, at := range candidates {
-		if at+detectionWindow > sick {
+		if at+detectionWindow > faultMillis {
 			break
 		}
 		n := 0
@@ -269,14 +270,14 @@
 				n++
 			}
 		}
-		if n <= most {
+		if n <= maxHits {
 			return float64(at), true
 		}
 	}
-	return float64(sick), false
+	return float64(faultMillis), false
 }
 
-// countStarts reads which keys were started, and how much work there was.
+// countStarts reads the upstreams' logs and counts starts by key and in total.
 func (r *runner) countStarts() error {
 	r.outcome.starts = map[string]int{}
 	work := 0
--- a/bench/cmd/trial/scenario.go
+++ b/bench/cmd/trial/scenario.go
@@ -10,35 +10,35 @@
 	"eiderfold/bench/standin"
 )
 
-// scenario is a data file: a load, and what goes wrong during it.
+// scenario describes a load and the faults during it. It is read from a YAML file.
 type scenario struct {
-	Name    string        `yaml:"name"`
-	Service int           `yaml:"service"` // Index of the deployment's service that suffers.
-	Rate    float64       `yaml:"rate"`    // Requests a second for each upstream.
-	Keyed   float64       `yaml:"keyed"`   // Share of keyed operations.
-	Twice   float64       `yaml:"twice"`   // Share of those that are sent through two nodes at once.
-	Warm    time.Duration `yaml:"warm"`
-	Rounds  int           `yaml:"rounds"`
-	Sick    time.Duration `yaml:"sick"`
-	Rest    time.Duration `yaml:"rest"`
-	// Victims is how many upstreams are sick in a round; the next round takes the
-	// next ones. -1 is the whole service.
+	Name           string        `yaml:"name"`
+	Service        int           `yaml:"service"` // Index of the deployment's service that has the faults.
+	Rate           float64       `yaml:"rate"`    // Requests a second for each upstream.
+	KeyedShare     float64       `yaml:"keyed"`   // Share of keyed operations.
+	DuplicateShare float64       `yaml:"twice"`   // Share of those that are sent twice in a row, to random nodes.
+	Warmup         time.Duration `yaml:"warm"`
+	Rounds         int           `yaml:"rounds"`
+	FaultFor       time.Duration `yaml:"sick"`
+	Recovery       time.Duration `yaml:"rest"`
+	// Victims is the number of upstreams that are faulty in a round. The next round
+	// selects the next ones; -1 selects the whole service.
 	Victims int       `yaml:"victims"`
 	Mode    modeFile  `yaml:"mode"`
 	Links   []linkCut `yaml:"links"`
-	Sigma   float64   `yaml:"sigma"` // Spread of answer times, if not the deployment's.
-	// Work is the median time of a piece of work, if not the deployment's.
+	Sigma   float64   `yaml:"sigma"` // Standard deviation of the logarithm of work times, if it differs from the deployment's.
+	// Work is the median work time of a request, if it differs from the deployment's.
 	Work time.Duration `yaml:"work"`
-	// Blameless says that ejecting a victim is wrong too.
-	Blameless bool `yaml:"blameless"`
-	// Platform is what is wrong with the platform during the rounds.
+	// NoEjection makes ejections of victims count as false.
+	NoEjection bool `yaml:"blameless"`
+	// Platform is the fault of the platform during the rounds.
 	Platform platformFile `yaml:"platform"`
-	// DataCentre is cut off from all others during the rounds.
+	// DataCentre is the data centre that is cut off from all others during the rounds.
 	DataCentre string `yaml:"data_centre"`
-	// Replace kills the victims and starts them again, cold.
+	// Replace restarts the victims, which makes them cold.
 	Replace bool `yaml:"replace"`
-	// Node is done to nodes in turn, one a round: kill, stop or pause.
-	Node string `yaml:"node"`
+	// NodeFault is a fault of one node in each round, in turn: kill, stop or pause.
+	NodeFault string `yaml:"node"`
 }
 
 type modeFile struct {
@@ -53,9 +53,9 @@
 	Cold       time.Duration `yaml:"cold"`
 }
 
-// linkCut bends links of one node: to the round's victims or to other nodes.
+// linkCut is a fault of a node's links to the round's victims or to other nodes.
 type linkCut struct {
-	Node   int           `yaml:"node"` // From 1; 0 is every node.
+	Node   int           `yaml:"node"` // Counted from 1; 0 for every node.
 	To     string        `yaml:"to"`   // victims or nodes.
 	CutOut bool          `yaml:"cut_out"`
 	CutIn  bool          `yaml:"cut_in"`
@@ -87,7 +87,7 @@
 	}
 }
 
-// length is how long the load lasts.
+// length returns the duration of the load.
 func (s *scenario) length() time.Duration {
-	return s.Warm + time.Duration(s.Rounds)*(s.Sick+s.Rest)
+	return s.Warmup + time.Duration(s.Rounds)*(s.FaultFor+s.Recovery)
 }
--- a/bench/cmd/trial/sensitivity.go
+++ b/bench/cmd/trial/sensitivity.go
@@ -18,44 +18,44 @@
 	"eiderfold/node"
 )
 
-// tradeoff is what a policy does with counts that are drawn, not served: only so
-// can days be looked at.
+// tradeoff holds the figures of a policy for simulated counts of answers. Simulation covers
+// days of traffic, which real processes cannot.
 type tradeoff struct {
 	Policy      string  `json:"policy"`
 	Sensitivity float64 `json:"sensitivity,omitempty"`
-	// False is ejections of healthy upstreams, per upstream and day.
+	// False is the number of ejections of healthy upstreams, per upstream and day.
 	False float64 `json:"false_ejections_per_upstream_day"`
 	Days  float64 `json:"upstream_days"`
-	// Detection is the median time in ms until an upstream is out, by fault.
+	// Detection is the median time in milliseconds until an upstream is ejected, by fault.
 	Detection map[string]float64 `json:"detection_ms_p50"`
 	Missed    map[string]int     `json:"missed"`
 }
 
-// world is the service that is drawn: Certificados under the letter's conditions.
+// The simulated service, modelled on Certificados.
 const (
-	worldUpstreams = 6
-	worldNodes     = 9
-	worldRate      = 20 // Requests a second for an upstream.
-	worldFloor     = 4
-	worldStep      = 250 * time.Millisecond
-	worldError     = 0.002 // Of a healthy upstream's answers.
-	worldSlow      = 0.05
-	pauseEvery     = time.Minute // A healthy upstream stands still now and then...
-	faultLength    = 60 * time.Second
-	faultRuns      = 40
+	simUpstreams  = 6
+	simNodes      = 9
+	simRate       = 20 // Requests a second for an upstream.
+	simFloor      = 4
+	simStep       = 250 * time.Millisecond // Simulated time of one step.
+	simError      = 0.002                  // Share of failures of a healthy upstream.
+	simSlow       = 0.05                   // Share of slow answers of a healthy upstream.
+	stallInterval = time.Minute            // Mean time between stalls of a healthy upstream.
+	faultLength   = 60 * time.Second
+	faultRuns     = 40
 )
 
-// faultShare is what a sick upstream's answers are like.
-type faultShare struct {
+// faultProfile holds the shares of failed and slow answers of a faulty upstream.
+type faultProfile struct {
 	name         string
 	failed, slow float64
 }
 
-var worldFaults = []faultShare{
+var simFaults = []faultProfile{
 	{"fails", 1, 0},
-	{"tenth fails", 0.1, worldSlow},
-	{"5x slower", worldError, 0.97},
-	{"2x slower", worldError, 0.4},
+	{"tenth fails", 0.1, simSlow},
+	{"5x slower", simError, 0.97},
+	{"2x slower", simError, 0.4},
 }
 
 func sensitivityCommand() *cobra.Command {
@@ -66,7 +66,7 @@
 		Short: "Draw detection time against false ejections over the sensitivity, in process",
 		Args:  cobra.NoArgs,
 	}
-	c.Flags().Float64Var(&days, "days", 2, "days of a healthy service to draw for each policy")
+	c.Flags().Float64Var(&days, "days", 2, "days of a healthy service to simulate for each policy")
 	c.Flags().StringVar(&plotFile, "plot", "docs/sensitivity.svg", "where to draw; empty for nowhere")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		results := tradeoffs(time.Duration(days * float64(24*time.Hour)))
@@ -87,71 +87,71 @@
 	type policy struct {
 		name        string
 		sensitivity float64
-		make        func(time.Time) decider
+		newDetector func(time.Time) detector
 	}
 	var policies []policy
 	for _, s := range []float64{1000, 100, 10, 1, 0.1, 0.01, 0.001} {
-		policies = append(policies, policy{ours, s, func(at time.Time) decider { return newJudged(s, at) }})
+		policies = append(policies, policy{ours, s, func(at time.Time) detector { return newCoordinated(s, at) }})
 	}
 	policies = append(policies,
-		policy{"consecutive", 0, func(at time.Time) decider { return newLocals(baseline.Consecutive, at) }},
-		policy{"deviation", 0, func(at time.Time) decider { return newLocals(baseline.Deviation, at) }})
+		policy{"consecutive", 0, func(at time.Time) detector { return newLocals(baseline.Consecutive, at) }},
+		policy{"deviation", 0, func(at time.Time) detector { return newLocals(baseline.Deviation, at) }})
 	results := make([]*tradeoff, len(policies))
-	var drawing sync.WaitGroup
+	var running sync.WaitGroup
 	for i, p := range policies {
-		drawing.Go(func() {
+		running.Go(func() {
 			r := &tradeoff{Policy: p.name, Sensitivity: p.sensitivity, Detection: map[string]float64{}, Missed: map[string]int{}}
-			r.Days = length.Hours() / 24 * worldUpstreams
-			r.False = float64(drawHealthy(p.make, length)) / r.Days
-			for _, f := range worldFaults {
-				r.Detection[f.name], r.Missed[f.name] = drawFault(p.make, f)
+			r.Days = length.Hours() / 24 * simUpstreams
+			r.False = float64(simulateHealthy(p.newDetector, length)) / r.Days
+			for _, f := range simFaults {
+				r.Detection[f.name], r.Missed[f.name] = simulateFault(p.newDetector, f)
 			}
 			results[i] = r
 		})
 	}
-	drawing.Wait()
+	running.Wait()
 	return results
 }
 
-// decider is a policy over all nodes of the drawn service.
-type decider interface {
-	// take gives every node what it saw in one step.
-	take(at time.Time, seen [worldNodes][]core.Count)
-	// out returns the share of the nodes that hold an upstream out.
-	out(upstream int) float64
+// detector is a policy over all nodes of the simulated service.
+type detector interface {
+	// observe passes to every node the counts that it saw in one step.
+	observe(at time.Time, seen [simNodes][]core.Count)
+	// ejectedShare returns the share of the nodes on which an upstream is ejected.
+	ejectedShare(upstream int) float64
 }
 
-func worldName(i int) string { return fmt.Sprintf("u%d", i) }
+func simName(i int) string { return fmt.Sprintf("u%d", i) }
 
-func worldMembers(at time.Time) core.Members {
+func simMembers(at time.Time) core.Members {
 	m := core.Members{At: at}
-	for i := range worldUpstreams {
-		m.Upstreams = append(m.Upstreams, worldName(i))
+	for i := range simUpstreams {
+		m.Upstreams = append(m.Upstreams, simName(i))
 	}
 	return m
 }
 
-// judged is ours: one judge for all nodes.
-type judged struct {
-	judge  *core.Judge
-	phases map[string]core.Phase
+// coordinated is eiderfold's own policy: one outlier detector for all nodes.
+type coordinated struct {
+	detector *core.Judge
+	phases   map[string]core.Phase
 }
 
-func newJudged(sensitivity float64, at time.Time) decider {
-	j := &judged{judge: core.NewJudge(core.Policy{Floor: worldFloor, Sensitivity: sensitivity}), phases: map[string]core.Phase{}}
-	j.judge.Update(worldMembers(at))
-	j.judge.Update(core.Installed{At: at})
+func newCoordinated(sensitivity float64, at time.Time) detector {
+	j := &coordinated{detector: core.NewJudge(core.Policy{Floor: simFloor, Sensitivity: sensitivity}), phases: map[string]core.Phase{}}
+	j.detector.Update(simMembers(at))
+	j.detector.Update(core.Installed{At: at})
 	return j
 }
 
-func (j *judged) take(at time.Time, seen [worldNodes][]core.Count) {
+func (j *coordinated) observe(at time.Time, seen [simNodes][]core.Count) {
 	for i, counts := range seen {
-		j.note(j.judge.Update(core.Evidence{At: at, Reporter: fmt.Sprint(i), Counts: counts}))
+		j.record(j.detector.Update(core.Evidence{At: at, Reporter: fmt.Sprint(i), Counts: counts}))
 	}
-	j.note(j.judge.Update(core.Tick{At: at}))
+	j.record(j.detector.Update(core.Tick{At: at}))
 }
 
-func (j *judged) note(commands []core.Command) {
+func (j *coordinated) record(commands []core.Command) {
 	for _, c := range commands {
 		if d, ok := c.(core.Decided); ok {
 			j.phases[d.Upstream] = d.Phase
@@ -159,29 +159,29 @@
 	}
 }
 
-func (j *judged) out(upstream int) float64 {
-	if p := j.phases[worldName(upstream)]; p == core.Out || p == core.Trial {
+func (j *coordinated) ejectedShare(upstream int) float64 {
+	if p := j.phases[simName(upstream)]; p == core.Out || p == core.Trial {
 		return 1
 	}
 	return 0
 }
 
-// locals is a baseline: each node for itself.
-type locals struct{ nodes [worldNodes]node.Local }
+// locals is a baseline policy, which each node applies independently.
+type locals struct{ nodes [simNodes]node.Local }
 
-func newLocals(make func(core.Policy) node.Local, at time.Time) decider {
+func newLocals(newDetector func(core.Policy) node.Local, at time.Time) detector {
 	l := &locals{}
 	for i := range l.nodes {
-		l.nodes[i] = make(core.Policy{Floor: worldFloor})
-		l.nodes[i].Update(worldMembers(at))
+		l.nodes[i] = newDetector(core.Policy{Floor: simFloor})
+		l.nodes[i].Update(simMembers(at))
 	}
 	return l
 }
 
-func (l *locals) take(at time.Time, seen [worldNodes][]core.Count) {
+func (l *locals) observe(at time.Time, seen [simNodes][]core.Count) {
 	for i, n := range l.nodes {
 		for _, c := range seen[i] {
-			// One answer at a time, as the order matters to some.
+			// One answer at a time, since some policies depend on the order.
 			for range c.Fast + c.Slow {
 				n.Update(core.Evidence{At: at, Counts: []core.Count{{Upstream: c.Upstream, Fast: 1}}})
 			}
@@ -193,47 +193,47 @@
 	}
 }
 
-func (l *locals) out(upstream int) float64 {
+func (l *locals) ejectedShare(upstream int) float64 {
 	share := 0.0
 	for _, n := range l.nodes {
-		if n.Weight(worldName(upstream)) == 0 {
-			share += 1.0 / worldNodes
+		if n.Weight(simName(upstream)) == 0 {
+			share += 1.0 / simNodes
 		}
 	}
 	return share
 }
 
-// world is the drawn upstreams.
-type world struct{ pauses [worldUpstreams]int }
+// simulation holds the remaining steps of each upstream's stall.
+type simulation struct{ stalls [simUpstreams]int }
 
-// pausing lets an upstream stand still for one step, or for two in a row: a
-// quarter or half of a second.
-func (w *world) pausing(r *rand.Rand, u int) bool {
-	if w.pauses[u] == 0 && r.Float64() < worldStep.Seconds()/pauseEvery.Seconds() {
-		w.pauses[u] = 1 + r.IntN(2)
+// stalled reports whether an upstream stalls in this step. A stall starts at random and
+// lasts one or two steps.
+func (sim *simulation) stalled(r *rand.Rand, u int) bool {
+	if sim.stalls[u] == 0 && r.Float64() < simStep.Seconds()/stallInterval.Seconds() {
+		sim.stalls[u] = 1 + r.IntN(2)
 	}
-	if w.pauses[u] == 0 {
+	if sim.stalls[u] == 0 {
 		return false
 	}
-	w.pauses[u]--
+	sim.stalls[u]--
 	return true
 }
 
-// draw makes what every node sees in a step. A healthy upstream stands still for
-// a moment now and then, so slow answers come in bursts.
-func (w *world) draw(r *rand.Rand, d decider, sick int, fault faultShare) [worldNodes][]core.Count {
-	var seen [worldNodes][]core.Count
-	perNode := worldRate * worldStep.Seconds() / worldNodes
-	for u := range worldUpstreams {
-		failed, slow := worldError, worldSlow
-		if u == sick {
+// step returns the random counts that every node sees in a step. Healthy upstreams stall
+// at times, so their slow answers come in bursts.
+func (sim *simulation) step(r *rand.Rand, d detector, faulty int, fault faultProfile) [simNodes][]core.Count {
+	var seen [simNodes][]core.Count
+	perNode := simRate * simStep.Seconds() / simNodes
+	for u := range simUpstreams {
+		failed, slow := simError, simSlow
+		if u == faulty {
 			failed, slow = fault.failed, fault.slow
-		} else if w.pausing(r, u) {
+		} else if sim.stalled(r, u) {
 			slow = 0.9
 		}
-		share := 1 - d.out(u)
-		for n := range worldNodes {
-			c := core.Count{Upstream: worldName(u)}
+		share := 1 - d.ejectedShare(u)
+		for n := range simNodes {
+			c := core.Count{Upstream: simName(u)}
 			for x := perNode * max(share, 0.02); x > 0; x-- {
 				if r.Float64() < min(x, 1) {
 					count(&c, r, failed, slow)
@@ -258,48 +258,49 @@
 	}
 }
 
-const nobodySick = -1
+const noFaulty = -1 // Index for no faulty upstream.
 
-// drawHealthy counts ejections while nothing is wrong.
-func drawHealthy(make func(time.Time) decider, length time.Duration) int {
+// simulateHealthy returns the number of ejections without any fault.
+func simulateHealthy(newDetector func(time.Time) detector, length time.Duration) int {
 	r := rand.New(rand.NewPCG(1, 1))
 	at := time.Unix(1_000_000, 0)
-	d := make(at)
-	wrong, w := 0, &world{}
-	var held [worldUpstreams]bool
-	for end := at.Add(length); at.Before(end); at = at.Add(worldStep) {
-		d.take(at, w.draw(r, d, nobodySick, faultShare{}))
-		for u := range worldUpstreams {
-			out := d.out(u) > 0
-			if out && !held[u] {
-				wrong++
+	d := newDetector(at)
+	falseEjections, sim := 0, &simulation{}
+	var wasEjected [simUpstreams]bool
+	for end := at.Add(length); at.Before(end); at = at.Add(simStep) {
+		d.observe(at, sim.step(r, d, noFaulty, faultProfile{}))
+		for u := range simUpstreams {
+			ejected := d.ejectedShare(u) > 0
+			if ejected && !wasEjected[u] {
+				falseEjections++
 			}
-			held[u] = out
+			wasEjected[u] = ejected
 		}
 	}
-	return wrong
+	return falseEjections
 }
 
 const (
-	warmTime  = 30 * time.Second
-	mostNodes = 0.9
+	warmupTime      = 30 * time.Second
+	minEjectedShare = 0.9
 )
 
-// drawFault returns the median time until most nodes hold a sick upstream out.
-func drawFault(make func(time.Time) decider, f faultShare) (median float64, missed int) {
+// simulateFault returns the median time in milliseconds until minEjectedShare of the nodes
+// have ejected a faulty upstream, and the number of runs in which they did not.
+func simulateFault(newDetector func(time.Time) detector, f faultProfile) (median float64, missed int) {
 	var times []float64
 	for run := range uint64(faultRuns) {
 		r := rand.New(rand.NewPCG(run, 2))
 		at := time.Unix(1_000_000, 0)
-		d, w := make(at), &world{}
-		for end := at.Add(warmTime); at.Before(end); at = at.Add(worldStep) {
-			d.take(at, w.draw(r, d, nobodySick, f))
+		d, sim := newDetector(at), &simulation{}
+		for end := at.Add(warmupTime); at.Before(end); at = at.Add(simStep) {
+			d.observe(at, sim.step(r, d, noFaulty, f))
 		}
 		began := at
-		for end := at.Add(faultLength); at.Before(end) && d.out(0) < mostNodes; at = at.Add(worldStep) {
-			d.take(at, w.draw(r, d, 0, f))
+		for end := at.Add(faultLength); at.Before(end) && d.ejectedShare(0) < minEjectedShare; at = at.Add(simStep) {
+			d.observe(at, sim.step(r, d, 0, f))
 		}
-		if d.out(0) < mostNodes {
+		if d.ejectedShare(0) < minEjectedShare {
 			missed++
 		}
 		times = append(times, float64(at.Sub(began).Milliseconds()))
@@ -307,7 +308,8 @@
 	return quantile(sortedFloats(times), 0.5), missed
 }
 
-// plotTradeoffs draws detection against false ejections, a line for each fault.
+// plotTradeoffs plots detection time against false ejections, one line for each policy and
+// fault.
 func plotTradeoffs(file string, results []*tradeoff) error {
 	p := plot.New()
 	p.Title.Text = "Detection time and false ejections over the sensitivity"
@@ -317,7 +319,7 @@
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{}, plot.LogTicks{}
 	const leftEdge = 0.05
 	var lines []any
-	for _, f := range worldFaults {
+	for _, f := range simFaults {
 		for _, name := range []string{ours, "consecutive", "deviation"} {
 			var points plotter.XYs
 			for _, r := range results {
--- a/bench/cmd/trial/speed.go
+++ b/bench/cmd/trial/speed.go
@@ -16,30 +16,30 @@
 	"eiderfold/bench/fleet"
 )
 
-// speed is what one way to an upstream costs.
+// speed holds the cost of one access path to an upstream.
 type speed struct {
-	Way        string  `json:"way"`
-	Rate       int     `json:"requests_per_s"`
-	CPU        float64 `json:"cpu_us_per_request"` // Of the proxy's process.
-	PerCore    float64 `json:"requests_per_s_per_core"`
-	P50        float64 `json:"p50_ms"`
-	P99        float64 `json:"p99_ms"`
-	RSS        float64 `json:"rss_mb"`
-	Failed     int     `json:"failed"`
-	CPURatio   float64 `json:"cpu_ratio_to_passthrough,omitempty"`
-	AddedP50   float64 `json:"added_p50_ms"`
-	AddedP99   float64 `json:"added_p99_ms"`
-	RatioLeast float64 `json:"cpu_ratio_min,omitempty"`
-	RatioMost  float64 `json:"cpu_ratio_max,omitempty"`
+	Path        string  `json:"way"`
+	Rate        int     `json:"requests_per_s"`
+	CPU         float64 `json:"cpu_us_per_request"` // Of the proxy process.
+	PerCore     float64 `json:"requests_per_s_per_core"`
+	P50         float64 `json:"p50_ms"`
+	P99         float64 `json:"p99_ms"`
+	RSS         float64 `json:"rss_mb"`
+	Failed      int     `json:"failed"`
+	CPURatio    float64 `json:"cpu_ratio_to_passthrough,omitempty"`
+	AddedP50    float64 `json:"added_p50_ms"`
+	AddedP99    float64 `json:"added_p99_ms"`
+	CPURatioMin float64 `json:"cpu_ratio_min,omitempty"`
+	CPURatioMax float64 `json:"cpu_ratio_max,omitempty"`
 }
 
-// way is one way to reach the upstream.
-type way struct {
+// accessPath is one way to reach the upstream: directly, or through a proxy.
+type accessPath struct {
 	name   string
 	url    string
 	method string
-	key    bool
-	pid    int // 0 for the upstream itself.
+	key    bool // Sends an Idempotency-Key.
+	pid    int  // Of the proxy; 0 for none.
 }
 
 func speedCommand() *cobra.Command {
@@ -51,7 +51,7 @@
 		Args:  cobra.NoArgs,
 	}
 	c.Flags().IntVar(&rate, "rate", 3000, "requests a second")
-	c.Flags().IntVar(&rounds, "rounds", 7, "rounds over all ways")
+	c.Flags().IntVar(&rounds, "rounds", 7, "rounds over all access paths")
 	c.Flags().DurationVar(&length, "length", 4*time.Second, "length of each measurement")
 	c.Flags().DurationVar(&work, "work", 2*time.Millisecond, "time of the upstream's work")
 	c.RunE = func(c *cobra.Command, _ []string) error {
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "speed")
 	}
-	defer os.RemoveAll(dir) //nolint:errcheck // A leftover in the temporary folder does no harm.
+	defer os.RemoveAll(dir) //nolint:errcheck // A leftover in the temporary folder is harmless.
 	binaries, err := fleet.Build(dir)
 	if err != nil {
 		return nil, err
@@ -89,36 +89,36 @@
 		return nil, err
 	}
 	defer f.Close()
-	small, address, err := fleet.StartStandin(ctx, "passthrough", dir, binaries.Passthrough, f.Upstreams[0].Address)
+	proxy, address, err := fleet.StartStandin(ctx, "passthrough", dir, binaries.Passthrough, f.Upstreams[0].Address)
 	if err != nil {
 		return nil, err
 	}
-	defer small.Kill()
+	defer proxy.Kill()
 	node := f.Nodes[0]
-	ways := []way{
+	paths := []accessPath{
 		{"direct", "http://" + f.Upstreams[0].Address + "/get/1", http.MethodGet, false, 0},
-		{"passthrough", "http://" + address + "/get/1", http.MethodGet, false, small.PID()},
+		{"passthrough", "http://" + address + "/get/1", http.MethodGet, false, proxy.PID()},
 		{"node", "http://" + node.Callers() + "/account-1/get/1", http.MethodGet, false, node.PID()},
 		{"node, keyed", "http://" + node.Callers() + "/account-1/post", http.MethodPost, true, node.PID()},
 	}
-	return compareWays(ways, rate, rounds, length), nil
+	return comparePaths(paths, rate, rounds, length), nil
 }
 
-// compareWays measures the ways in turn, so that each round's ratio is of
-// neighbours in time, and gives medians.
-func compareWays(ways []way, rate, rounds int, length time.Duration) []speed {
-	all := make([][]speed, len(ways))
+// comparePaths measures the paths in turn, so that a round's ratios compare measurements
+// that are close in time, and returns the medians over the rounds.
+func comparePaths(paths []accessPath, rate, rounds int, length time.Duration) []speed {
+	all := make([][]speed, len(paths))
 	for round := range rounds + 1 {
-		for i, w := range ways {
-			one := w.measure(rate, length, round*len(ways)+i)
+		for i, p := range paths {
+			one := p.measure(rate, length, round*len(paths)+i)
 			if round > 0 { // The first round warms up.
 				all[i] = append(all[i], one)
 			}
 		}
 	}
-	results := make([]speed, len(ways))
-	for i, w := range ways {
-		r := speed{Way: w.name, Rate: rate}
+	results := make([]speed, len(paths))
+	for i, p := range paths {
+		r := speed{Path: p.name, Rate: rate}
 		r.CPU = medianOf(all[i], func(s speed) float64 { return s.CPU })
 		r.P50 = medianOf(all[i], func(s speed) float64 { return s.P50 })
 		r.P99 = medianOf(all[i], func(s speed) float64 { return s.P99 })
@@ -134,8 +134,8 @@
 		r.AddedP50 = medianOf(all[i], func(s speed) float64 { return s.AddedP50 })
 		r.AddedP99 = medianOf(all[i], func(s speed) float64 { return s.AddedP99 })
 		r.CPURatio = medianOf(all[i], func(s speed) float64 { return s.CPURatio })
-		ratios := values(all[i], func(s speed) float64 { return s.CPURatio })
-		r.RatioLeast, r.RatioMost = ratios[0], ratios[len(ratios)-1]
+		ratios := sortedValues(all[i], func(s speed) float64 { return s.CPURatio })
+		r.CPURatioMin, r.CPURatioMax = ratios[0], ratios[len(ratios)-1]
 		if r.CPU > 0 {
 			r.PerCore = float64(time.Second/time.Microsecond) / r.CPU
 		}
@@ -144,36 +144,36 @@
 	return results
 }
 
-func (w way) measure(rate int, length time.Duration, number int) speed {
-	before, _ := fleet.Usage(w.pid)
+func (p accessPath) measure(rate int, length time.Duration, number int) speed {
+	before, _ := fleet.Usage(p.pid)
 	n := 0
 	target := func(t *vegeta.Target) error {
 		n++
-		t.Method, t.URL = w.method, w.url
+		t.Method, t.URL = p.method, p.url
 		t.Header = http.Header{"X-Mark": {"m"}}
-		if w.key {
+		if p.key {
 			t.Header.Set("Idempotency-Key", fmt.Sprintf("%d-%d", number, n))
 		}
 		return nil
 	}
 	a := vegeta.NewAttacker(vegeta.Timeout(loadTimeout), vegeta.Workers(loadWorkers), vegeta.KeepAlive(true), vegeta.Connections(loadWorkers))
-	times := newHistogram()
+	latencies := newHistogram()
 	var s speed
-	for r := range a.Attack(target, vegeta.Rate{Freq: rate, Per: time.Second}, length, w.name) {
+	for r := range a.Attack(target, vegeta.Rate{Freq: rate, Per: time.Second}, length, p.name) {
 		if r.Code != http.StatusOK {
 			s.Failed++
 		}
-		_ = times.RecordValue(r.Latency.Microseconds()) // The time-out is within the range.
+		_ = latencies.RecordValue(r.Latency.Microseconds()) // loadTimeout is within the range.
 	}
-	after, rss := fleet.Usage(w.pid)
+	after, rss := fleet.Usage(p.pid)
 	s.RSS = rss
 	s.CPU = (after - before) / float64(max(n, 1)) * float64(time.Second/time.Microsecond)
-	s.P50 = float64(times.ValueAtQuantile(50)) / microPerMilli
-	s.P99 = float64(times.ValueAtQuantile(99)) / microPerMilli
+	s.P50 = float64(latencies.ValueAtQuantile(50)) / microPerMilli
+	s.P99 = float64(latencies.ValueAtQuantile(99)) / microPerMilli
 	return s
 }
 
-func values(list []speed, of func(speed) float64) []float64 {
+func sortedValues(list []speed, of func(speed) float64) []float64 {
 	all := make([]float64, 0, len(list))
 	for _, s := range list {
 		all = append(all, of(s))
@@ -183,5 +183,5 @@
 }
 
 func medianOf(list []speed, of func(speed) float64) float64 {
-	return quantile(values(list, of), 0.5)
+	return quantile(sortedValues(list, of), 0.5)
 }
--- a/bench/cmd/trial/watch.go
+++ b/bench/cmd/trial/watch.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	watchPeriod  = 100 * time.Millisecond
-	neverOutside = 0.01
+	watchPeriod   = 100 * time.Millisecond
+	ejectedWeight = 0.01 // A node that weights an upstream lower counts as having ejected it.
 )
 
-// watcher looks at every node's dump over and over: who is out, and rightly so?
+// watcher polls the dumps of all nodes and counts ejections that are wrong or breach the
+// floor.
 type watcher struct {
-	fleet    *fleet.Fleet
-	mu       sync.Mutex
-	guilty   map[string]bool // Upstreams that are sick, or were before.
-	out      map[string]bool
-	wrong    int
-	lost     float64 // Healthy upstream-seconds, by share of the nodes that hold it out.
-	breaches int
+	fleet          *fleet.Fleet
+	mu             sync.Mutex
+	faulty         map[string]bool // Upstreams that are or were faulty.
+	ejected        map[string]bool
+	falseEjections int
+	healthyLost    float64 // Healthy upstream-seconds lost, weighted by the share of nodes that ejected it.
+	floorBreaches  int
 }
 
 func newWatcher(f *fleet.Fleet) *watcher {
-	return &watcher{fleet: f, guilty: map[string]bool{}, out: map[string]bool{}}
+	return &watcher{fleet: f, faulty: map[string]bool{}, ejected: map[string]bool{}}
 }
 
-// sick says who is sick from now on.
-func (w *watcher) sick(names []string) {
+// markFaulty marks upstreams as faulty from now on.
+func (w *watcher) markFaulty(names []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, u := range names {
-		w.guilty[u] = true
+		w.faulty[u] = true
 	}
 }
 
@@ -49,15 +50,16 @@
 		case <-ctx.Done():
 			return
 		}
-		views := w.look()
+		views := w.poll()
 		now := time.Now()
-		w.take(views, now.Sub(last))
+		w.update(views, now.Sub(last))
 		last = now
 	}
 }
 
-// look asks all nodes at the same time who is out in their view.
-func (w *watcher) look() []map[string]bool {
+// poll returns, for each node, the upstreams that it has ejected; nil for a node that does
+// not run or respond. It queries all nodes concurrently.
+func (w *watcher) poll() []map[string]bool {
 	views := make([]map[string]bool, len(w.fleet.Nodes))
 	var asking sync.WaitGroup
 	for i, n := range w.fleet.Nodes {
@@ -66,7 +68,7 @@
 		}
 		asking.Go(func() {
 			if d, err := w.fleet.Dump(n); err == nil {
-				views[i] = outIn(d.Groups[w.fleet.Deployment.Name])
+				views[i] = ejectedIn(d.Groups[w.fleet.Deployment.Name])
 			}
 		})
 	}
@@ -74,19 +76,19 @@
 	return views
 }
 
-func outIn(g node.GroupDump) map[string]bool {
-	out := map[string]bool{}
+func ejectedIn(g node.GroupDump) map[string]bool {
+	ejected := map[string]bool{}
 	for _, s := range g.Services {
 		for _, u := range s.Upstreams {
-			if u.Phase == "out" || u.Phase == "trial" || u.Avoid < neverOutside {
-				out[u.Name] = true
+			if u.Phase == "out" || u.Phase == "trial" || u.Avoid < ejectedWeight {
+				ejected[u.Name] = true
 			}
 		}
 	}
-	return out
+	return ejected
 }
 
-func (w *watcher) take(views []map[string]bool, passed time.Duration) {
+func (w *watcher) update(views []map[string]bool, passed time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	union, answered := map[string]bool{}, 0
@@ -101,43 +103,44 @@
 	}
 	for _, v := range views {
 		for u := range v {
-			if !w.guilty[u] {
-				w.lost += passed.Seconds() / float64(answered)
+			if !w.faulty[u] {
+				w.healthyLost += passed.Seconds() / float64(answered)
 			}
 		}
 	}
 	for u := range union {
-		if !w.out[u] && !w.guilty[u] {
-			w.wrong++
+		if !w.ejected[u] && !w.faulty[u] {
+			w.falseEjections++
 		}
 	}
-	w.out = union
+	w.ejected = union
 	w.countBreaches(union)
 }
 
-// countBreaches counts an upstream as out when any node holds it out.
+// countBreaches counts breaches of the floors. An upstream counts as ejected if any node
+// has ejected it.
 func (w *watcher) countBreaches(union map[string]bool) {
 	for _, s := range w.fleet.Deployment.Services {
-		out := 0
+		ejected := 0
 		for u := range union {
 			if strings.HasPrefix(u, s.Name+"-") {
-				out++
+				ejected++
 			}
 		}
-		if out > s.Upstreams-s.Floor {
-			w.breaches++
+		if ejected > s.Upstreams-s.Floor {
+			w.floorBreaches++
 		}
 	}
 }
 
-// usage is what the nodes used.
+// usage holds the resource usage of the nodes, in their order.
 type usage struct {
-	cpu  []float64 // Seconds of processor time by node; a share of a core after since.
+	cpu  []float64 // CPU seconds; share of a core in the result of since.
 	rss  []float64 // MB.
-	sent []float64 // Bytes of control messages; a second after since.
+	sent []float64 // Bytes of control messages, sent and received; a second in the result of since.
 }
 
-func measure(f *fleet.Fleet) usage {
+func measureUsage(f *fleet.Fleet) usage {
 	var u usage
 	for _, n := range f.Nodes {
 		cpu, rss := fleet.Usage(n.PID())
