--- a/bench/baseline/baseline.go
+++ b/bench/baseline/baseline.go
@@ -1,11 +1,11 @@
-// Package baseline holds the policies that eiderfold is measured against: what
-// widespread proxies do, on the same path of a request.
+// Package baseline implements the ejection policies that eiderfold is compared with: those
+// of widespread proxies, on the same request path.
 //
 // # Usage
 //
 //	n, err := node.New(settings, material, node.WithLocal(baseline.Consecutive))
 //
-// Each node decides for itself from what it sees itself.
+// Each node decides independently, from its own observations.
 package baseline
 
 import (
@@ -16,19 +16,19 @@
 	"eiderfold/node"
 )
 
-// The widespread defaults.
+// Defaults of widespread proxies.
 const (
-	sweep            = 10 * time.Second
+	sweepInterval    = 10 * time.Second
 	baseEjection     = 30 * time.Second
 	consecutiveLimit = 5
-	deviations       = 1.9
-	// The usual 100 requests and 5 hosts would keep the deviation from ever
-	// counting at these sizes.
-	leastRequests = 20
-	leastHosts    = 3
+	maxDeviations    = 1.9
+	// Lower than the usual 100 requests and 5 hosts, which are never reached at the sizes
+	// compared here.
+	minRequests = 20
+	minHosts    = 3
 )
 
-// None never ejects.
+// None returns a policy that never ejects.
 func None(core.Policy) node.Local { return none{} }
 
 type none struct{}
@@ -37,21 +37,21 @@
 func (none) Weight(string) float64 { return 1 }
 func (none) Suspects(string) bool  { return false }
 
-// host is what a node keeps of an upstream.
+// host holds what a node has recorded about an upstream.
 type host struct {
-	row       int
-	good, bad float64
-	until     time.Time
-	ejections int
-	out       bool
+	consecutiveFailures int
+	succeeded, failed   float64
+	ejectedUntil        time.Time
+	ejections           int
+	ejected             bool
 }
 
-// ejector is what both baselines share: ejection for longer each time, ended by a
-// sweep, and never more than the floor allows this one node.
+// ejector is the part that both baselines share. Each ejection of a host lasts longer than
+// the one before and ends at a sweep. The node ejects no more hosts than the floor allows.
 type ejector struct {
-	floor int
-	hosts map[string]*host
-	swept time.Time
+	floor     int
+	hosts     map[string]*host
+	lastSweep time.Time
 }
 
 func (e *ejector) members(m core.Members) {
@@ -66,33 +66,34 @@
 }
 
 func (e *ejector) eject(h *host, at time.Time) {
-	out := 0
+	ejectedCount := 0
 	for _, o := range e.hosts {
-		if o.out {
-			out++
+		if o.ejected {
+			ejectedCount++
 		}
 	}
-	if h.out || out >= len(e.hosts)-e.floor {
+	if h.ejected || ejectedCount >= len(e.hosts)-e.floor {
 		return
 	}
-	h.out = true
+	h.ejected = true
 	h.ejections++
-	h.until = at.Add(time.Duration(h.ejections) * baseEjection)
-	h.row = 0
+	h.ejectedUntil = at.Add(time.Duration(h.ejections) * baseEjection)
+	h.consecutiveFailures = 0
 }
 
-// due reports whether a sweep is due, and readmits whose time is over.
-func (e *ejector) due(at time.Time) bool {
-	if e.swept.IsZero() {
-		e.swept = at
+// sweep readmits the hosts whose ejection has expired, if sweepInterval has passed, and
+// reports whether it has.
+func (e *ejector) sweep(at time.Time) bool {
+	if e.lastSweep.IsZero() {
+		e.lastSweep = at
 	}
-	if at.Sub(e.swept) < sweep {
+	if at.Sub(e.lastSweep) < sweepInterval {
 		return false
 	}
-	e.swept = at
+	e.lastSweep = at
 	for _, h := range e.hosts {
-		if h.out && at.After(h.until) {
-			h.out = false
+		if h.ejected && at.After(h.ejectedUntil) {
+			h.ejected = false
 		}
 	}
 	return true
@@ -100,7 +101,7 @@
 
 // Weight implements node.Local.
 func (e *ejector) Weight(upstream string) float64 {
-	if h := e.hosts[upstream]; h != nil && h.out {
+	if h := e.hosts[upstream]; h != nil && h.ejected {
 		return 0
 	}
 	return 1
@@ -109,7 +110,7 @@
 // Suspects implements node.Local.
 func (e *ejector) Suspects(string) bool { return false }
 
-// Consecutive ejects after five failures in a row.
+// Consecutive returns a policy that ejects an upstream after five consecutive failures.
 func Consecutive(p core.Policy) node.Local { return &consecutive{ejector{floor: p.Floor}} }
 
 type consecutive struct{ ejector }
@@ -120,7 +121,7 @@
 	case core.Members:
 		c.members(m)
 	case core.Tick:
-		c.due(m.At)
+		c.sweep(m.At)
 	case core.Evidence:
 		for _, n := range m.Counts {
 			h := c.hosts[n.Upstream]
@@ -128,17 +129,17 @@
 				continue
 			}
 			if n.Fast+n.Slow > 0 {
-				h.row = 0
+				h.consecutiveFailures = 0
 			}
-			if h.row += int(n.Failed); h.row >= consecutiveLimit {
+			if h.consecutiveFailures += int(n.Failed); h.consecutiveFailures >= consecutiveLimit {
 				c.eject(h, m.At)
 			}
 		}
 	}
 }
 
-// Deviation ejects, every ten seconds, whose success rate is 1.9 standard
-// deviations under the mean.
+// Deviation returns a policy that ejects, every ten seconds, the upstreams whose success
+// rate is more than 1.9 standard deviations below the mean.
 func Deviation(p core.Policy) node.Local { return &deviation{ejector{floor: p.Floor}} }
 
 type deviation struct{ ejector }
@@ -151,35 +152,37 @@
 	case core.Evidence:
 		for _, n := range m.Counts {
 			if h := d.hosts[n.Upstream]; h != nil {
-				h.good += float64(n.Fast + n.Slow)
-				h.bad += float64(n.Failed)
+				h.succeeded += float64(n.Fast + n.Slow)
+				h.failed += float64(n.Failed)
 			}
 		}
 	case core.Tick:
-		if d.due(m.At) {
-			d.judge(m.At)
+		if d.sweep(m.At) {
+			d.ejectOutliers(m.At)
 		}
 	}
 }
 
-func (d *deviation) judge(at time.Time) {
+// ejectOutliers ejects the outliers among the hosts with enough requests, and resets all
+// counts.
+func (d *deviation) ejectOutliers(at time.Time) {
 	var rates []float64
 	for _, h := range d.hosts {
-		if !h.out && h.good+h.bad >= leastRequests {
-			rates = append(rates, h.good/(h.good+h.bad))
+		if !h.ejected && h.succeeded+h.failed >= minRequests {
+			rates = append(rates, h.succeeded/(h.succeeded+h.failed))
 		}
 	}
-	mean, sigma := spread(rates)
+	mean, sigma := meanAndDeviation(rates)
 	for _, h := range d.hosts {
-		enough := len(rates) >= leastHosts && h.good+h.bad >= leastRequests
-		if !h.out && enough && h.good/(h.good+h.bad) < mean-deviations*sigma {
+		enough := len(rates) >= minHosts && h.succeeded+h.failed >= minRequests
+		if !h.ejected && enough && h.succeeded/(h.succeeded+h.failed) < mean-maxDeviations*sigma {
 			d.eject(h, at)
 		}
-		h.good, h.bad = 0, 0
+		h.succeeded, h.failed = 0, 0
 	}
 }
 
-func spread(rates []float64) (mean, sigma float64) {
+func meanAndDeviation(rates []float64) (mean, sigma float64) {
 	for _, r := range rates {
 		mean += r / float64(len(rates))
 	}
