--- a/bench/baseline/baseline.go
+++ b/bench/baseline/baseline.go
@@ -33,9 +33,9 @@
 
 type none struct{}
 
-func (none) Update(core.Message)   {}
-func (none) Weight(string) float64 { return 1 }
-func (none) Suspects(string) bool  { return false }
+func (none) Update(core.Message)    {}
+func (none) Weight(string) float64  { return 1 }
+func (none) Unreliable(string) bool { return false }
 
 // host holds what a node has recorded about an upstream.
 type host struct {
@@ -107,8 +107,8 @@
 	return 1
 }
 
-// Suspects implements node.Local.
-func (e *ejector) Suspects(string) bool { return false }
+// Unreliable implements node.Local.
+func (e *ejector) Unreliable(string) bool { return false }
 
 // Consecutive returns a policy that ejects an upstream after five consecutive failures.
 func Consecutive(p core.Policy) node.Local { return &consecutive{ejector{floor: p.Floor}} }
--- a/bench/cmd/trial/memory.go
+++ b/bench/cmd/trial/memory.go
@@ -101,8 +101,8 @@
 	})
 }
 
-func filledClaims(n int) *core.Claims {
-	c := core.NewClaims(time.Hour)
+func filledClaims(n int) *core.ClaimTable {
+	c := core.NewClaimTable(time.Hour)
 	at := time.Unix(1000, 0)
 	c.Update(core.TakeOver{At: at, Epoch: 1})
 	for i := range n {
@@ -115,7 +115,7 @@
 // evidenceTime returns the microseconds to process one node's evidence for n upstreams.
 func evidenceTime(n int) float64 {
 	const times = 2000
-	j := core.NewJudge(core.Policy{Floor: n / 2, Sensitivity: 0.01})
+	d := core.NewOutlierDetector(core.Policy{Floor: n / 2, Sensitivity: 0.01})
 	at := time.Unix(1000, 0)
 	var names []string
 	var counts []core.Count
@@ -123,12 +123,12 @@
 		names = append(names, fmt.Sprintf("upstream-%d", i))
 		counts = append(counts, core.Count{Upstream: names[i], Fast: 1})
 	}
-	j.Update(core.Members{At: at, Upstreams: names})
-	j.Update(core.Installed{At: at})
+	d.Update(core.Members{At: at, Upstreams: names})
+	d.Update(core.StartDeciding{At: at})
 	started := time.Now()
 	for range times {
 		at = at.Add(time.Millisecond)
-		j.Update(core.Evidence{At: at, Reporter: "n", Counts: counts})
+		d.Update(core.Evidence{At: at, Reporter: "n", Counts: counts})
 	}
 	return float64(time.Since(started).Microseconds()) / times
 }
--- a/bench/cmd/trial/run.go
+++ b/bench/cmd/trial/run.go
@@ -255,11 +255,11 @@
 	}
 }
 
-// detectionTime returns the start, in milliseconds, of the first window with few hits, and
+// detectionTime returns the start, in milliseconds, of the first window with few arrivals, and
 // whether there is one before the fault ends.
-func detectionTime(hits []int64, rate float64, faultMillis int64) (float64, bool) {
-	maxHits := int(rate * detectionWindow / 1000 * detectedShare)
-	candidates := append([]int64{0}, hits...)
+func detectionTime(arrivals []int64, rate float64, faultMillis int64) (float64, bool) {
+	maxArrivals := int(rate * detectionWindow / 1000 * detectedShare)
+	candidates := append([]int64{0}, arrivals...)
 	for i, at := range candidates {
 		if at+detectionWindow > faultMillis {
 			break
@@ -270,7 +270,7 @@
 				n++
 			}
 		}
-		if n <= maxHits {
+		if n <= maxArrivals {
 			return float64(at), true
 		}
 	}
--- a/bench/cmd/trial/sensitivity.go
+++ b/bench/cmd/trial/sensitivity.go
@@ -133,34 +133,34 @@
 
 // coordinated is eiderfold's own policy: one outlier detector for all nodes.
 type coordinated struct {
-	detector *core.Judge
+	detector *core.OutlierDetector
 	phases   map[string]core.Phase
 }
 
 func newCoordinated(sensitivity float64, at time.Time) detector {
-	j := &coordinated{detector: core.NewJudge(core.Policy{Floor: simFloor, Sensitivity: sensitivity}), phases: map[string]core.Phase{}}
-	j.detector.Update(simMembers(at))
-	j.detector.Update(core.Installed{At: at})
-	return j
+	d := &coordinated{detector: core.NewOutlierDetector(core.Policy{Floor: simFloor, Sensitivity: sensitivity}), phases: map[string]core.Phase{}}
+	d.detector.Update(simMembers(at))
+	d.detector.Update(core.StartDeciding{At: at})
+	return d
 }
 
-func (j *coordinated) observe(at time.Time, seen [simNodes][]core.Count) {
+func (d *coordinated) observe(at time.Time, seen [simNodes][]core.Count) {
 	for i, counts := range seen {
-		j.record(j.detector.Update(core.Evidence{At: at, Reporter: fmt.Sprint(i), Counts: counts}))
+		d.record(d.detector.Update(core.Evidence{At: at, Reporter: fmt.Sprint(i), Counts: counts}))
 	}
-	j.record(j.detector.Update(core.Tick{At: at}))
+	d.record(d.detector.Update(core.Tick{At: at}))
 }
 
-func (j *coordinated) record(commands []core.Command) {
+func (d *coordinated) record(commands []core.Command) {
 	for _, c := range commands {
-		if d, ok := c.(core.Decided); ok {
-			j.phases[d.Upstream] = d.Phase
+		if decision, ok := c.(core.LogDecision); ok {
+			d.phases[decision.Upstream] = decision.Phase
 		}
 	}
 }
 
-func (j *coordinated) ejectedShare(upstream int) float64 {
-	if p := j.phases[simName(upstream)]; p == core.Out || p == core.Trial {
+func (d *coordinated) ejectedShare(upstream int) float64 {
+	if p := d.phases[simName(upstream)]; p == core.Out || p == core.Trial {
 		return 1
 	}
 	return 0
--- a/core/doc.go
+++ b/core/doc.go
@@ -4,21 +4,20 @@
 //
 // There are four state machines:
 //
-//   - Judge is the outlier detector: it ejects and readmits the upstreams of one
-//     service. Only the coordinator's Judge decides; see outlier.go.
-//   - Avoider holds the local weights: it shifts one node's own traffic at once,
-//     based on that node's own observations.
+//   - OutlierDetector ejects and readmits the upstreams of one service. Only the
+//     coordinator's decides; see outlier.go.
+//   - LocalWeights shifts one node's own traffic at once, based on that node's own
+//     observations.
 //   - View holds the coordinator's decisions that a node has received, and the end
 //     of their lease.
-//   - Claims (the claim table) and Ledger (the operation table) keep an operation
-//     from running twice.
+//   - ClaimTable and OperationTable keep an operation from running twice.
 //
 // # Usage
 //
-//	j := core.NewJudge(core.Policy{Floor: 2, Sensitivity: 0.01})
-//	j.Update(core.Members{At: now, Upstreams: []string{"a", "b", "c"}})
-//	j.Update(core.Installed{At: now})
-//	for _, c := range j.Update(core.Evidence{At: now, Reporter: "n1", Counts: counts}) {
+//	d := core.NewOutlierDetector(core.Policy{Floor: 2, Sensitivity: 0.01})
+//	d.Update(core.Members{At: now, Upstreams: []string{"a", "b", "c"}})
+//	d.Update(core.StartDeciding{At: now})
+//	for _, c := range d.Update(core.Evidence{At: now, Reporter: "n1", Counts: counts}) {
 //		// Publish the set of ejection states, log the decision.
 //	}
 package core
@@ -49,23 +48,23 @@
 
 // Evidence holds a node's observations since its last Evidence.
 type Evidence struct {
-	At       time.Time
-	Reporter string
-	Beside   string // The upstream beside the reporter, observed without a network link; may be empty.
-	Counts   []Count
+	At            time.Time
+	Reporter      string
+	LocalUpstream string // The upstream beside the reporter, observed without a network link; may be empty.
+	Counts        []Count
 }
 
 // Tick reports the current time.
 type Tick struct{ At time.Time }
 
-// Installed reports that this node may decide from At on.
-type Installed struct{ At time.Time }
+// StartDeciding reports that this node may decide from At on.
+type StartDeciding struct{ At time.Time }
 
-// Dismissed reports that this node no longer decides.
-type Dismissed struct{ At time.Time }
+// StopDeciding reports that this node no longer decides.
+type StopDeciding struct{ At time.Time }
 
-func (Members) message()   {}
-func (Evidence) message()  {}
-func (Tick) message()      {}
-func (Installed) message() {}
-func (Dismissed) message() {}
+func (Members) message()       {}
+func (Evidence) message()      {}
+func (Tick) message()          {}
+func (StartDeciding) message() {}
+func (StopDeciding) message()  {}
--- a/core/operation.go
+++ b/core/operation.go
@@ -28,12 +28,12 @@
 
 // Verdicts.
 const (
-	Refused   Verdict = iota // This node is not the coordinator, or not yet. Nothing is recorded.
-	Granted                  // Only this holder may start the operation.
-	HeldBy                   // The operation was granted to another holder.
-	OtherBody                // The key was used for a request with another body.
-	Unsure                   // A coordinator whose claim table is lost may have granted it.
-	Ahead                    // The creation time in the key is in the future.
+	Refused     Verdict = iota // This node is not the coordinator, or not yet. Nothing is recorded.
+	Granted                    // Only this holder may start the operation.
+	HeldBy                     // The operation was granted to another holder.
+	OtherBody                  // The key was used for a request with another body.
+	Unconfirmed                // A coordinator whose claim table is lost may have granted it.
+	KeyInFuture                // The creation time in the key is in the future.
 )
 
 // Claim requests the right to start an operation.
@@ -41,12 +41,12 @@
 	At   time.Time
 	Key  Key
 	Body uint64 // Hash of method, path and body.
-	// Born is the creation time in the key, if it has one (UUID version 7), or zero.
-	Born   time.Time
-	Holder Holder
-	// Instead is an earlier holder that will never start. It is empty for a first
+	// KeyCreated is the creation time in the key, if it has one (UUID version 7), or zero.
+	KeyCreated time.Time
+	Holder     Holder
+	// Replaces is an earlier holder that will never start. It is empty for a first
 	// claim.
-	Instead Holder
+	Replaces Holder
 }
 
 // Answer is the coordinator's answer to a claim.
@@ -65,22 +65,22 @@
 }
 
 // TakeOver starts an epoch of this coordinator. From lists the nodes that may hold
-// operations of earlier epochs and have not reported them yet. Until Lost, operations
+// operations of earlier epochs and have not reported them yet. Until LostUntil, operations
 // may be claimed whose grants are lost for good.
 type TakeOver struct {
-	At    time.Time
-	Epoch uint64
-	From  []string
-	Lost  time.Time
+	At        time.Time
+	Epoch     uint64
+	From      []string
+	LostUntil time.Time
 }
 
 // Collected is a node's report of the operations that it holds, sent with its promise
 // to accept no grant of an earlier epoch.
 type Collected struct {
-	At   time.Time
-	Node string
-	Held []Held
-	Lost time.Time // Until when operations may be claimed whose grants this node knows to be lost.
+	At        time.Time
+	Node      string
+	Held      []Held
+	LostUntil time.Time // Until when operations may be claimed whose grants this node knows to be lost.
 	// Complete is set if the node was the previous coordinator and reports every grant
 	// of the window. Other losses do not matter then.
 	Complete bool
@@ -103,10 +103,10 @@
 func (NodeGone) message()  {}
 func (Moved) message()     {}
 
-// Claims is the coordinator's claim table: it records which holder may start which
+// ClaimTable records for the coordinator which holder may start which
 // operation. Each holder records its own operations too, so that every grant is stored
 // on two nodes and a single crash loses none. It is not safe for concurrent use.
-type Claims struct {
+type ClaimTable struct {
 	window    time.Duration
 	epoch     uint64
 	active    bool
@@ -149,19 +149,19 @@
 	return keys
 }
 
-// NewClaims returns a claim table that removes an operation one window after its claim.
-func NewClaims(window time.Duration) *Claims {
-	return &Claims{window: window, entries: map[Key]*claimEntry{}, moved: map[Holder]Holder{}}
+// NewClaimTable returns a claim table that removes an operation one window after its claim.
+func NewClaimTable(window time.Duration) *ClaimTable {
+	return &ClaimTable{window: window, entries: map[Key]*claimEntry{}, moved: map[Holder]Holder{}}
 }
 
 // SetWindow changes how long operations claimed from now on are kept.
-func (c *Claims) SetWindow(window time.Duration) { c.window = window }
+func (c *ClaimTable) SetWindow(window time.Duration) { c.window = window }
 
 // Len returns the number of operations in the table.
-func (c *Claims) Len() int { return len(c.entries) }
+func (c *ClaimTable) Len() int { return len(c.entries) }
 
 // Held returns every grant, for a handover or for a new coordinator.
-func (c *Claims) Held() []Held {
+func (c *ClaimTable) Held() []Held {
 	held := make([]Held, 0, len(c.entries))
 	for k, e := range c.entries {
 		for _, h := range e.holders {
@@ -172,10 +172,10 @@
 }
 
 // Waiting returns how many nodes have not reported yet what they hold.
-func (c *Claims) Waiting() int { return len(c.waiting) }
+func (c *ClaimTable) Waiting() int { return len(c.waiting) }
 
-// Lost returns until when claims of unknown keys may be answered with Unsure.
-func (c *Claims) Lost() time.Time {
+// LostUntil returns until when claims of unknown keys may be answered with Unconfirmed.
+func (c *ClaimTable) LostUntil() time.Time {
 	if c.complete {
 		return time.Time{}
 	}
@@ -183,10 +183,10 @@
 }
 
 // Complete reports whether the table has every grant of the window.
-func (c *Claims) Complete(at time.Time) bool { return c.active && !c.unsure(at, time.Time{}) }
+func (c *ClaimTable) Complete(at time.Time) bool { return c.active && !c.unconfirmed(at, time.Time{}) }
 
 // Update handles a message. Only the answer to a Claim is meaningful.
-func (c *Claims) Update(m Message) Answer {
+func (c *ClaimTable) Update(m Message) Answer {
 	switch m := m.(type) {
 	case Claim:
 		return c.claim(m)
@@ -198,7 +198,7 @@
 		c.nodeGone(m)
 	case Moved:
 		c.move(m)
-	case Dismissed:
+	case StopDeciding:
 		c.active = false
 	case Tick:
 		c.expire(m.At)
@@ -207,9 +207,9 @@
 }
 
 // takeOver starts an epoch.
-func (c *Claims) takeOver(m TakeOver) {
+func (c *ClaimTable) takeOver(m TakeOver) {
 	// Entries from an earlier term as coordinator stay: no other node may have them.
-	c.epoch, c.active, c.complete, c.lostUntil = m.Epoch, true, false, m.Lost
+	c.epoch, c.active, c.complete, c.lostUntil = m.Epoch, true, false, m.LostUntil
 	c.waiting = make(map[string]bool, len(m.From))
 	for _, n := range m.From {
 		c.waiting[n] = true
@@ -217,20 +217,20 @@
 }
 
 // collect adds what a node holds.
-func (c *Claims) collect(m Collected) {
+func (c *ClaimTable) collect(m Collected) {
 	for _, h := range m.Held {
 		c.record(h.Key, h.Body, h.Holder, m.At)
 	}
 	delete(c.waiting, m.Node)
-	if m.Lost.After(c.lostUntil) {
-		c.lostUntil = m.Lost
+	if m.LostUntil.After(c.lostUntil) {
+		c.lostUntil = m.LostUntil
 	}
 	c.complete = c.complete || m.Complete
 }
 
 // nodeGone stops waiting for a node. Grants that only it had may be claimed again until
 // the window is over.
-func (c *Claims) nodeGone(m NodeGone) {
+func (c *ClaimTable) nodeGone(m NodeGone) {
 	if !c.waiting[m.Node] {
 		return
 	}
@@ -240,22 +240,22 @@
 	}
 }
 
-func (c *Claims) move(m Moved) {
+func (c *ClaimTable) move(m Moved) {
 	c.moved[Holder{Node: m.From.Node, Incarnation: m.From.Incarnation}] = m.To
 }
 
 // claim decides on a claim.
-func (c *Claims) claim(m Claim) Answer {
+func (c *ClaimTable) claim(m Claim) Answer {
 	if !c.active {
 		return Answer{Verdict: Refused, Epoch: c.epoch}
 	}
-	if m.Born.After(m.At.Add(KeySkew)) {
-		return Answer{Verdict: Ahead, Epoch: c.epoch}
+	if m.KeyCreated.After(m.At.Add(KeySkew)) {
+		return Answer{Verdict: KeyInFuture, Epoch: c.epoch}
 	}
 	e := c.entries[m.Key]
 	if e == nil {
-		if c.unsure(m.At, m.Born) {
-			return Answer{Verdict: Unsure, Epoch: c.epoch}
+		if c.unconfirmed(m.At, m.KeyCreated) {
+			return Answer{Verdict: Unconfirmed, Epoch: c.epoch}
 		}
 		c.record(m.Key, m.Body, m.Holder, m.At)
 		return Answer{Verdict: Granted, Epoch: c.epoch, Holder: m.Holder}
@@ -265,13 +265,13 @@
 	}
 	// Keep only holders that may have started: not the claimant itself, which claims
 	// again because the answer was lost, and none that returned its grant unused.
-	e.holders = slices.DeleteFunc(e.holders, func(h Holder) bool { return h == m.Holder || m.Instead.covers(h) })
+	e.holders = slices.DeleteFunc(e.holders, func(h Holder) bool { return h == m.Holder || m.Replaces.covers(h) })
 	if len(e.holders) > 0 {
 		return Answer{Verdict: HeldBy, Epoch: c.epoch, Holder: e.holders[0], Where: c.locate(e.holders[0])}
 	}
 	e.holders = append(e.holders, m.Holder)
-	if c.unsure(m.At, m.Born) {
-		return Answer{Verdict: Unsure, Epoch: c.epoch}
+	if c.unconfirmed(m.At, m.KeyCreated) {
+		return Answer{Verdict: Unconfirmed, Epoch: c.epoch}
 	}
 	return Answer{Verdict: Granted, Epoch: c.epoch, Holder: m.Holder}
 }
@@ -279,24 +279,24 @@
 // KeySkew is how far a caller's clock may be ahead of a coordinator's.
 const KeySkew = 30 * time.Second
 
-// unsure reports whether an operation that is not in the table may have been granted.
+// unconfirmed reports whether an operation that is not in the table may have been granted.
 // A grant that was lost at some time cannot be for a key created later. Creation times
 // are reliable to within KeySkew, because keys further in the future are not granted.
-func (c *Claims) unsure(at, born time.Time) bool {
+func (c *ClaimTable) unconfirmed(at, keyCreated time.Time) bool {
 	if len(c.waiting) > 0 {
 		return true
 	}
-	lost := c.Lost()
+	lost := c.LostUntil()
 	if !at.Before(lost) {
 		return false
 	}
 	lostAt := lost.Add(-c.window)
-	return born.IsZero() || !born.After(lostAt.Add(2*KeySkew))
+	return keyCreated.IsZero() || !keyCreated.After(lostAt.Add(2*KeySkew))
 }
 
 // locate returns the node that has the holder's operation table now, following
 // the handovers of stopped nodes.
-func (c *Claims) locate(h Holder) string {
+func (c *ClaimTable) locate(h Holder) string {
 	at := Holder{Node: h.Node, Incarnation: h.Incarnation}
 	for range len(c.moved) {
 		to, ok := c.moved[at]
@@ -309,7 +309,7 @@
 }
 
 // record adds a holder to an operation.
-func (c *Claims) record(k Key, body uint64, h Holder, at time.Time) {
+func (c *ClaimTable) record(k Key, body uint64, h Holder, at time.Time) {
 	if e := c.entries[k]; e != nil {
 		if !slices.Contains(e.holders, h) {
 			e.holders = append(e.holders, h)
@@ -321,7 +321,7 @@
 	c.expiries.add(k, e.expires)
 }
 
-func (c *Claims) expire(at time.Time) {
+func (c *ClaimTable) expire(at time.Time) {
 	for _, x := range c.expiries.due(at) {
 		if e := c.entries[x.key]; e != nil && !at.Before(e.expires) {
 			delete(c.entries, x.key)
--- a/core/operation_test.go
+++ b/core/operation_test.go
@@ -22,7 +22,7 @@
 	noWaiting               // A new coordinator grants before all nodes have reported.
 	noSecondCopy            // A new coordinator does not replicate what it holds.
 	handToCoordinator       // A stopping node hands its operations to the coordinator.
-	restartUncertain        // A ledger allows a new attempt at an uncertain operation.
+	restartUncertain        // An operation table allows a new attempt at an uncertain operation.
 )
 
 const (
@@ -59,8 +59,8 @@
 // modelNode is one node and its view of the group.
 type modelNode struct {
 	incarnation uint64
-	ledger      *Ledger
-	claims      *Claims
+	operations  *OperationTable
+	claims      *ClaimTable
 	coordinator int    // The node that it considers the coordinator.
 	epoch       uint64 // The epoch of that coordinator.
 	leading     bool
@@ -80,7 +80,7 @@
 func newModel(p fault) *model {
 	m := &model{fault: p, now: time.Unix(1_000_000, 0), epoch: 1}
 	for i := range m.nodes {
-		m.nodes[i] = &modelNode{incarnation: 1, ledger: NewLedger(modelWindow, 1<<20), claims: NewClaims(modelWindow), epoch: 1}
+		m.nodes[i] = &modelNode{incarnation: 1, operations: NewOperationTable(modelWindow, 1<<20), claims: NewClaimTable(modelWindow), epoch: 1}
 	}
 	m.nodes[0].leading = true
 	m.nodes[0].claims.Update(TakeOver{At: m.now, Epoch: 1})
@@ -146,19 +146,19 @@
 func (m *model) request(at, k int) {
 	m.note("request for key %d at node %d", k, at)
 	n := m.nodes[at]
-	r := n.ledger.Update(Begin{At: m.now, Key: modelKey(k), Body: 1})
+	r := n.operations.Update(Begin{At: m.now, Key: modelKey(k), Body: 1})
 	if m.fault == restartUncertain && !r.Accepted && r.Stage == Uncertain {
-		delete(n.ledger.entries, modelKey(k))
-		r = n.ledger.Update(Begin{At: m.now, Key: modelKey(k), Body: 1})
+		delete(n.operations.entries, modelKey(k))
+		r = n.operations.Update(Begin{At: m.now, Key: modelKey(k), Body: 1})
 	}
 	if !r.Accepted {
 		return
 	}
-	var instead Holder
+	var replaces Holder
 	if r.Previous != 0 {
-		instead = m.holder(at, r.Previous)
+		replaces = m.holder(at, r.Previous)
 	}
-	m.claim(at, k, r.Attempt, instead)
+	m.claim(at, k, r.Attempt, replaces)
 }
 
 func (m *model) holder(at int, attempt uint64) Holder {
@@ -166,19 +166,19 @@
 }
 
 // claim claims an operation from the node that at considers the coordinator.
-func (m *model) claim(at, k int, attempt uint64, instead Holder) {
+func (m *model) claim(at, k int, attempt uint64, replaces Holder) {
 	leader := m.nodes[at].coordinator
 	holder := m.holder(at, attempt)
 	// The claiming node may abandon the attempt at any time.
 	m.send("abandon", func() {
-		m.ifRunning(holder, func(n *modelNode) { n.ledger.Update(GiveUp{Key: modelKey(k), Attempt: attempt}) })
+		m.ifRunning(holder, func(n *modelNode) { n.operations.Update(Abandon{Key: modelKey(k), Attempt: attempt}) })
 	})
 	m.send("claim", func() {
 		l := m.nodes[leader]
 		if !l.leading {
 			return
 		}
-		answer := l.claims.Update(Claim{At: m.now, Key: modelKey(k), Body: 1, Holder: holder, Instead: instead})
+		answer := l.claims.Update(Claim{At: m.now, Key: modelKey(k), Body: 1, Holder: holder, Replaces: replaces})
 		m.send("answer", func() { m.answered(at, leader, k, holder, answer) })
 	})
 }
@@ -203,10 +203,10 @@
 			}
 			m.permit(n, k, h, answer.Epoch)
 		case HeldBy:
-			n.ledger.Update(GiveUp{Key: modelKey(k), Attempt: h.Attempt})
+			n.operations.Update(Abandon{Key: modelKey(k), Attempt: h.Attempt})
 			m.inquire(at, k, answer.Holder, answer.Where)
 		default:
-			n.ledger.Update(GiveUp{Key: modelKey(k), Attempt: h.Attempt})
+			n.operations.Update(Abandon{Key: modelKey(k), Attempt: h.Attempt})
 		}
 	})
 }
@@ -219,11 +219,11 @@
 		}
 		m.send("witness", func() {
 			o := m.nodes[other]
-			if epoch < o.ledger.Promised() {
+			if epoch < o.operations.Promised() {
 				return
 			}
-			o.ledger.Update(Promise{Epoch: epoch})
-			o.ledger.Update(Witness{At: m.now, Held: Held{Key: modelKey(k), Body: 1, Holder: h}})
+			o.operations.Update(Promise{Epoch: epoch})
+			o.operations.Update(Witness{At: m.now, Held: Held{Key: modelKey(k), Body: 1, Holder: h}})
 			m.send("witnessed", func() { m.ifRunning(h, func(n *modelNode) { m.permit(n, k, h, epoch) }) })
 		})
 	}
@@ -231,7 +231,7 @@
 
 // permit starts a granted operation and checks that it starts only once.
 func (m *model) permit(n *modelNode, k int, h Holder, epoch uint64) {
-	r := n.ledger.Update(Permit{Key: modelKey(k), Attempt: h.Attempt, Epoch: epoch})
+	r := n.operations.Update(Permit{Key: modelKey(k), Attempt: h.Attempt, Epoch: epoch})
 	if !r.Accepted {
 		return
 	}
@@ -243,7 +243,7 @@
 	}
 	m.send("end", func() {
 		m.ifRunning(h, func(n *modelNode) {
-			n.ledger.Update(Finish{At: m.now, Key: modelKey(k), Attempt: h.Attempt, Stage: Uncertain})
+			n.operations.Update(Finish{At: m.now, Key: modelKey(k), Attempt: h.Attempt, Stage: Uncertain})
 		})
 	})
 	if k > 0 {
@@ -252,7 +252,7 @@
 	m.send("refused by the upstream", func() {
 		m.ifRunning(h, func(n *modelNode) {
 			f := Finish{At: m.now, Key: modelKey(k), Attempt: h.Attempt, Stage: NotStarted}
-			if n.ledger.Update(f).Accepted {
+			if n.operations.Update(f).Accepted {
 				m.started[k]--
 			}
 		})
@@ -266,14 +266,14 @@
 		for i, n := range m.nodes {
 			if fmt.Sprint(i) == where {
 				own := of.Node == where && of.Incarnation == n.incarnation
-				stage = n.ledger.Update(Inquire{Key: modelKey(k), Holder: of, Own: own}).Stage
+				stage = n.operations.Update(Query{Key: modelKey(k), Holder: of, Own: own}).Stage
 			}
 		}
 		if stage != NotStarted {
 			return
 		}
 		m.send("free", func() {
-			r := m.nodes[at].ledger.Update(Begin{At: m.now, Key: modelKey(k), Body: 1})
+			r := m.nodes[at].operations.Update(Begin{At: m.now, Key: modelKey(k), Body: 1})
 			if r.Accepted {
 				m.claim(at, k, r.Attempt, of)
 			}
@@ -293,7 +293,7 @@
 	m.assigned = at
 	n := m.nodes[at]
 	n.leading, n.coordinator, n.epoch = true, at, m.epoch
-	n.ledger.Update(Promise{Epoch: m.epoch})
+	n.operations.Update(Promise{Epoch: m.epoch})
 	var from []string
 	for i := range m.nodes {
 		if i != at && i != before {
@@ -306,7 +306,7 @@
 	if m.fault == noWaiting {
 		from = nil
 	}
-	own := n.ledger.Held(m.holder(at, 0))
+	own := n.operations.Held(m.holder(at, 0))
 	if len(own) > 0 && m.fault != noSecondCopy {
 		// What this node holds would now be on one node only.
 		from = append(from, "second copy")
@@ -317,7 +317,7 @@
 	}
 	// The store records that a change of coordinator was unplanned.
 	m.unplanned = m.unplanned || !planned
-	n.claims.Update(TakeOver{At: m.now, Epoch: m.epoch, From: from, Lost: lost})
+	n.claims.Update(TakeOver{At: m.now, Epoch: m.epoch, From: from, LostUntil: lost})
 	n.claims.Update(Collected{At: m.now, Node: fmt.Sprint(at), Held: own})
 	m.replicate(at, own)
 	for other := range m.nodes {
@@ -336,12 +336,12 @@
 		}
 		m.send("replicate", func() {
 			o := m.nodes[other]
-			if epoch < o.ledger.Promised() {
+			if epoch < o.operations.Promised() {
 				return
 			}
-			o.ledger.Update(Promise{Epoch: epoch})
+			o.operations.Update(Promise{Epoch: epoch})
 			for _, h := range own {
-				o.ledger.Update(Witness{At: m.now, Held: h})
+				o.operations.Update(Witness{At: m.now, Held: h})
 			}
 			m.send("replicated", func() {
 				n := m.nodes[at]
@@ -359,35 +359,35 @@
 	previous := m.nodes[before].incarnation
 	m.send("collect", func() {
 		o := m.nodes[other]
-		if epoch < o.ledger.Promised() {
+		if epoch < o.operations.Promised() {
 			return
 		}
 		if m.fault != noPromise {
-			o.ledger.Update(Promise{Epoch: epoch})
+			o.operations.Update(Promise{Epoch: epoch})
 		}
 		if epoch > o.epoch {
 			o.coordinator, o.epoch = at, epoch
 		}
-		held, lost, complete := o.ledger.Held(m.holder(other, 0)), time.Time{}, false
+		held, lost, complete := o.operations.Held(m.holder(other, 0)), time.Time{}, false
 		// Include grants from an earlier term as coordinator: the next coordinator may
 		// have crashed before it collected them.
 		held = append(held, o.claims.Held()...)
 		if o.leading && o.claims.epoch < epoch {
 			complete = other == before && o.incarnation == previous && o.claims.epoch == epoch-1 && o.claims.Complete(m.now)
 			o.leading = false
-			o.claims.Update(Dismissed{})
+			o.claims.Update(StopDeciding{})
 		}
 		if o.crashed || o.startStep >= takeOverStep {
 			lost = m.now.Add(modelWindow)
 		}
-		adopted, by := o.ledger.Adopted(), m.holder(other, 0)
+		adopted, by := o.operations.Adopted(), m.holder(other, 0)
 		m.send("collected", func() {
 			n := m.nodes[at]
 			if n.leading && n.claims.epoch == epoch && n.incarnation == run {
 				for _, from := range adopted {
 					n.claims.Update(Moved{From: from, To: by})
 				}
-				n.claims.Update(Collected{At: m.now, Node: fmt.Sprint(other), Held: held, Lost: lost, Complete: complete})
+				n.claims.Update(Collected{At: m.now, Node: fmt.Sprint(other), Held: held, LostUntil: lost, Complete: complete})
 			}
 		})
 	})
@@ -401,8 +401,8 @@
 	was := m.nodes[at]
 	m.nodes[at] = &modelNode{
 		incarnation: was.incarnation + 1,
-		ledger:      NewLedger(modelWindow, 1<<20),
-		claims:      NewClaims(modelWindow),
+		operations:  NewOperationTable(modelWindow, 1<<20),
+		claims:      NewClaimTable(modelWindow),
 		startStep:   m.steps,
 		coordinator: m.assigned,
 		epoch:       m.epoch,
@@ -433,11 +433,11 @@
 	}
 	was, next, leader := m.nodes[at], m.nodes[successor], m.nodes[m.assigned]
 	from, to := m.holder(at, 0), m.holder(successor, 0)
-	entries := was.ledger.Entries(from)
-	next.ledger.Update(Adopt{At: m.now, Entries: entries})
-	others := append(was.ledger.Witnessed(), was.claims.Held()...)
+	entries := was.operations.Entries(from)
+	next.operations.Update(Adopt{At: m.now, Entries: entries})
+	others := append(was.operations.Witnessed(), was.claims.Held()...)
 	for _, h := range others {
-		next.ledger.Update(Witness{At: m.now, Held: h})
+		next.operations.Update(Witness{At: m.now, Held: h})
 	}
 	// The coordinator may have collected from the successor already, but not from this
 	// node.
@@ -445,8 +445,8 @@
 	leader.claims.Update(Moved{From: from, To: to})
 	m.nodes[at] = &modelNode{
 		incarnation: was.incarnation + 1,
-		ledger:      NewLedger(modelWindow, 1<<20),
-		claims:      NewClaims(modelWindow),
+		operations:  NewOperationTable(modelWindow, 1<<20),
+		claims:      NewClaimTable(modelWindow),
 		startStep:   -1, // A planned stop loses nothing.
 		crashed:     was.crashed,
 		coordinator: m.assigned,
--- a/core/operationtable.go
+++ b/core/operationtable.go
@@ -38,8 +38,8 @@
 	Epoch   uint64
 }
 
-// GiveUp abandons an attempt that has not started.
-type GiveUp struct {
+// Abandon abandons an attempt that has not started.
+type Abandon struct {
 	Key     Key
 	Attempt uint64
 }
@@ -53,19 +53,19 @@
 	Answer  *Recorded
 }
 
-// Inquire queries an operation on behalf of another node, and abandons an attempt that
+// Query queries an operation on behalf of another node, and abandons an attempt that
 // has not started. Own is set if the holder is this process, and not one whose
 // operation table this one adopted.
-type Inquire struct {
+type Query struct {
 	Key    Key
 	Holder Holder
 	Own    bool
 }
 
-// Look queries an operation without changing it.
-type Look struct{ Key Key }
+// Peek queries an operation without changing it.
+type Peek struct{ Key Key }
 
-// Promise makes the ledger reject grants of earlier epochs.
+// Promise makes the operation table reject grants of earlier epochs.
 type Promise struct{ Epoch uint64 }
 
 // Witness stores a grant for another node. A coordinator's grant to itself would
@@ -77,10 +77,10 @@
 
 func (Begin) message()   {}
 func (Permit) message()  {}
-func (GiveUp) message()  {}
+func (Abandon) message() {}
 func (Finish) message()  {}
-func (Inquire) message() {}
-func (Look) message()    {}
+func (Query) message()   {}
+func (Peek) message()    {}
 func (Promise) message() {}
 func (Witness) message() {}
 
@@ -110,7 +110,7 @@
 
 func (Adopt) message() {}
 
-// Entry is one operation of a ledger, for the handover to another node.
+// Entry is one operation of an operation table, for the handover to another node.
 type Entry struct {
 	Key    Key       `cbor:"1,keyasint"`
 	Body   uint64    `cbor:"2,keyasint"`
@@ -119,7 +119,7 @@
 	Answer *Recorded `cbor:"5,keyasint,omitempty"`
 }
 
-// Report is the ledger's reply to a message: the state of the operation.
+// Report is the operation table's reply to a message: the state of the operation.
 type Report struct {
 	Stage    Stage
 	Attempt  uint64
@@ -129,9 +129,9 @@
 	Accepted bool   // Whether the message took effect.
 }
 
-// Ledger is a node's operation table: the operations that it claimed, adopted or
+// OperationTable holds the operations that a node claimed, adopted or
 // witnessed. It is not safe for concurrent use.
-type Ledger struct {
+type OperationTable struct {
 	window    time.Duration
 	maxBytes  int    // Limit of recorded answers, in bytes.
 	usedBytes int    // Size of recorded answers, in bytes.
@@ -153,46 +153,46 @@
 	expires     time.Time
 }
 
-// NewLedger returns a ledger that removes an operation one window after it began and
-// records at most maxBytes bytes of answers.
-func NewLedger(window time.Duration, maxBytes int) *Ledger {
-	return &Ledger{window: window, maxBytes: maxBytes, entries: map[Key]*attempt{}, witnessed: map[Key][]Held{}}
+// NewOperationTable returns an operation table that removes an operation one window after it
+// began and records at most maxBytes bytes of answers.
+func NewOperationTable(window time.Duration, maxBytes int) *OperationTable {
+	return &OperationTable{window: window, maxBytes: maxBytes, entries: map[Key]*attempt{}, witnessed: map[Key][]Held{}}
 }
 
 // SetWindow changes how long operations begun from now on are kept.
-func (l *Ledger) SetWindow(window time.Duration) { l.window = window }
+func (t *OperationTable) SetWindow(window time.Duration) { t.window = window }
 
 // Len returns the number of claimed and adopted operations.
-func (l *Ledger) Len() int { return len(l.entries) }
+func (t *OperationTable) Len() int { return len(t.entries) }
 
 // Promised returns the earliest epoch whose grants are accepted.
-func (l *Ledger) Promised() uint64 { return l.promised }
+func (t *OperationTable) Promised() uint64 { return t.promised }
 
 // Update handles a message and reports on its operation.
-func (l *Ledger) Update(m Message) Report {
+func (t *OperationTable) Update(m Message) Report {
 	switch m := m.(type) {
 	case Begin:
-		return l.begin(m)
+		return t.begin(m)
 	case Permit:
-		return l.permit(m)
-	case GiveUp:
-		return l.abandon(m.Key, m.Attempt)
+		return t.permit(m)
+	case Abandon:
+		return t.abandon(m.Key, m.Attempt)
 	case Finish:
-		return l.finish(m)
-	case Inquire:
-		return l.inquire(m)
-	case Look:
-		if e := l.entries[m.Key]; e != nil {
+		return t.finish(m)
+	case Query:
+		return t.query(m)
+	case Peek:
+		if e := t.entries[m.Key]; e != nil {
 			return e.report(true)
 		}
 	case Promise:
-		return l.promise(m)
+		return t.promise(m)
 	case Witness:
-		l.witness(m)
+		t.witness(m)
 	case Adopt:
-		l.adopt(m)
+		t.adopt(m)
 	case Tick:
-		l.expire(m.At)
+		t.expire(m.At)
 	}
 	return Report{}
 }
@@ -200,9 +200,9 @@
 // Entries returns every operation that started here or was adopted, for the node that
 // adopts them from a stopping one. It must not be called while operations can still
 // end: those that run are returned as Uncertain.
-func (l *Ledger) Entries(self Holder) []Entry {
-	entries := make([]Entry, 0, len(l.entries))
-	for k, e := range l.entries {
+func (t *OperationTable) Entries(self Holder) []Entry {
+	entries := make([]Entry, 0, len(t.entries))
+	for k, e := range t.entries {
 		if e.stage == Claiming || e.stage == NotStarted {
 			continue
 		}
@@ -216,9 +216,9 @@
 }
 
 // Witnessed returns the grants that this node stores for others.
-func (l *Ledger) Witnessed() []Held {
+func (t *OperationTable) Witnessed() []Held {
 	var held []Held
-	for _, h := range l.witnessed {
+	for _, h := range t.witnessed {
 		held = append(held, h...)
 	}
 	return held
@@ -234,10 +234,10 @@
 }
 
 // Adopted returns the processes whose operations this one adopted, without attempts.
-func (l *Ledger) Adopted() []Holder {
+func (t *OperationTable) Adopted() []Holder {
 	seen := map[Holder]bool{}
 	var from []Holder
-	for _, e := range l.entries {
+	for _, e := range t.entries {
 		h := Holder{Node: e.adoptedFrom.Node, Incarnation: e.adoptedFrom.Incarnation}
 		if h != (Holder{}) && !seen[h] {
 			seen[h] = true
@@ -247,31 +247,31 @@
 	return from
 }
 
-func (l *Ledger) adopt(m Adopt) {
+func (t *OperationTable) adopt(m Adopt) {
 	for _, n := range m.Entries {
-		if e := l.entries[n.Key]; e != nil && e.stage != NotStarted && e.stage != Claiming {
+		if e := t.entries[n.Key]; e != nil && e.stage != NotStarted && e.stage != Claiming {
 			continue // This node has started it. Attempts that have not are replaced.
 		}
-		e := &attempt{body: n.Body, adoptedFrom: n.Holder, stage: n.Stage, expires: m.At.Add(l.window)}
-		l.entries[n.Key] = e
-		l.expiries.add(n.Key, e.expires)
+		e := &attempt{body: n.Body, adoptedFrom: n.Holder, stage: n.Stage, expires: m.At.Add(t.window)}
+		t.entries[n.Key] = e
+		t.expiries.add(n.Key, e.expires)
 		if n.Answer != nil {
-			l.recordAnswer(n.Key, e, n.Answer)
+			t.recordAnswer(n.Key, e, n.Answer)
 		}
 	}
 }
 
-func (l *Ledger) witness(m Witness) {
+func (t *OperationTable) witness(m Witness) {
 	k := m.Held.Key
-	if slices.Contains(l.witnessed[k], m.Held) {
+	if slices.Contains(t.witnessed[k], m.Held) {
 		return
 	}
-	l.witnessed[k] = append(l.witnessed[k], m.Held)
-	l.expiries.add(k, m.At.Add(l.window))
+	t.witnessed[k] = append(t.witnessed[k], m.Held)
+	t.expiries.add(k, m.At.Add(t.window))
 }
 
-func (l *Ledger) begin(m Begin) Report {
-	e := l.entries[m.Key]
+func (t *OperationTable) begin(m Begin) Report {
+	e := t.entries[m.Key]
 	if e != nil && e.stage != NotStarted {
 		return e.report(false)
 	}
@@ -279,31 +279,31 @@
 	if e != nil {
 		previous = e.number
 	}
-	l.attempts++
-	e = &attempt{body: m.Body, number: l.attempts, stage: Claiming, expires: m.At.Add(l.window)}
-	l.entries[m.Key] = e
-	l.expiries.add(m.Key, e.expires)
+	t.attempts++
+	e = &attempt{body: m.Body, number: t.attempts, stage: Claiming, expires: m.At.Add(t.window)}
+	t.entries[m.Key] = e
+	t.expiries.add(m.Key, e.expires)
 	r := e.report(true)
 	r.Previous = previous
 	return r
 }
 
-func (l *Ledger) permit(m Permit) Report {
-	e := l.entries[m.Key]
+func (t *OperationTable) permit(m Permit) Report {
+	e := t.entries[m.Key]
 	if e == nil || e.number != m.Attempt || e.stage != Claiming {
 		return Report{}
 	}
-	if m.Epoch < l.promised {
+	if m.Epoch < t.promised {
 		e.stage = NotStarted
 		return e.report(false)
 	}
-	l.promised = m.Epoch
+	t.promised = m.Epoch
 	e.stage = Running
 	return e.report(true)
 }
 
-func (l *Ledger) abandon(k Key, number uint64) Report {
-	e := l.entries[k]
+func (t *OperationTable) abandon(k Key, number uint64) Report {
+	e := t.entries[k]
 	if e == nil || e.number != number || e.stage != Claiming {
 		return Report{}
 	}
@@ -311,49 +311,49 @@
 	return e.report(true)
 }
 
-func (l *Ledger) finish(m Finish) Report {
-	e := l.entries[m.Key]
+func (t *OperationTable) finish(m Finish) Report {
+	e := t.entries[m.Key]
 	if e == nil || e.number != m.Attempt || e.stage != Running {
 		return Report{}
 	}
 	e.stage = m.Stage
 	if m.Stage == Done {
-		l.recordAnswer(m.Key, e, m.Answer)
+		t.recordAnswer(m.Key, e, m.Answer)
 	}
 	r := e.report(true)
-	l.forget(m.Key, m.At)
+	t.forget(m.Key, m.At)
 	return r
 }
 
 // recordAnswer records an answer, and drops the oldest ones while they exceed maxBytes.
 // An answer that exceeds maxBytes by itself is not recorded.
-func (l *Ledger) recordAnswer(k Key, e *attempt, answer *Recorded) {
-	if answer.size() > l.maxBytes {
+func (t *OperationTable) recordAnswer(k Key, e *attempt, answer *Recorded) {
+	if answer.size() > t.maxBytes {
 		e.stage = DoneNoBody
 		return
 	}
 	e.answer = answer
-	l.usedBytes += answer.size()
-	l.answers = append(l.answers, k)
-	for l.usedBytes > l.maxBytes {
-		l.dropAnswer(l.answers[0])
-		l.answers = l.answers[1:]
+	t.usedBytes += answer.size()
+	t.answers = append(t.answers, k)
+	for t.usedBytes > t.maxBytes {
+		t.dropAnswer(t.answers[0])
+		t.answers = t.answers[1:]
 	}
 }
 
 // dropAnswer removes a recorded answer; its operation stays as DoneNoBody.
-func (l *Ledger) dropAnswer(k Key) {
-	e := l.entries[k]
+func (t *OperationTable) dropAnswer(k Key) {
+	e := t.entries[k]
 	if e == nil || e.answer == nil {
 		return
 	}
-	l.usedBytes -= e.answer.size()
+	t.usedBytes -= e.answer.size()
 	e.answer = nil
 	e.stage = DoneNoBody
 }
 
-func (l *Ledger) inquire(m Inquire) Report {
-	e := l.entries[m.Key]
+func (t *OperationTable) query(m Query) Report {
+	e := t.entries[m.Key]
 	if e == nil {
 		return Report{}
 	}
@@ -378,25 +378,25 @@
 	return e.report(true)
 }
 
-func (l *Ledger) promise(m Promise) Report {
-	if m.Epoch < l.promised {
+func (t *OperationTable) promise(m Promise) Report {
+	if m.Epoch < t.promised {
 		return Report{}
 	}
-	l.promised = m.Epoch
+	t.promised = m.Epoch
 	return Report{Accepted: true}
 }
 
 // Held returns what a new coordinator needs: every operation that started here or was
 // adopted, and every grant that this node witnessed.
-func (l *Ledger) Held(self Holder) []Held {
-	held := make([]Held, 0, len(l.entries)+len(l.witnessed))
-	for k, e := range l.entries {
+func (t *OperationTable) Held(self Holder) []Held {
+	held := make([]Held, 0, len(t.entries)+len(t.witnessed))
+	for k, e := range t.entries {
 		if e.stage == Claiming || e.stage == NotStarted {
 			continue
 		}
 		held = append(held, Held{Key: k, Body: e.body, Holder: e.holder(self)})
 	}
-	return append(held, l.Witnessed()...)
+	return append(held, t.Witnessed()...)
 }
 
 // holder returns the holder of the operation: the original one if it was adopted.
@@ -411,20 +411,20 @@
 	return Report{Stage: e.stage, Attempt: e.number, Body: e.body, Answer: e.answer, Accepted: accepted}
 }
 
-func (l *Ledger) expire(at time.Time) {
-	for _, x := range l.expiries.due(at) {
-		l.forget(x.key, at)
+func (t *OperationTable) expire(at time.Time) {
+	for _, x := range t.expiries.due(at) {
+		t.forget(x.key, at)
 	}
 }
 
 // forget removes the witnessed grants of a key, and its entry if that has expired and
 // does not run.
-func (l *Ledger) forget(k Key, at time.Time) {
-	delete(l.witnessed, k)
-	e := l.entries[k]
+func (t *OperationTable) forget(k Key, at time.Time) {
+	delete(t.witnessed, k)
+	e := t.entries[k]
 	if e == nil || at.Before(e.expires) || e.stage == Running {
 		return
 	}
-	l.dropAnswer(k)
-	delete(l.entries, k)
+	t.dropAnswer(k)
+	delete(t.entries, k)
 }
--- a/core/outlier.go
+++ b/core/outlier.go
@@ -67,18 +67,18 @@
 	return [...]string{"in", "out", "trial", "ramp"}[p]
 }
 
-// Standing is the published ejection state of an upstream whose phase is not In.
-type Standing struct {
+// EjectionState is the published state of an upstream whose phase is not In.
+type EjectionState struct {
 	Upstream string  `cbor:"1,keyasint"`
 	Phase    Phase   `cbor:"2,keyasint"`
 	Weight   float64 `cbor:"3,keyasint,omitempty"` // Share of full weight, 0 to 1.
 }
 
 // Publish asks the caller to publish the set of ejection states to all nodes.
-type Publish struct{ Set []Standing }
+type Publish struct{ Set []EjectionState }
 
-// Decided asks the caller to log a decision with its evidence.
-type Decided struct {
+// LogDecision asks the caller to log a decision with its evidence.
+type LogDecision struct {
 	At       time.Time
 	Upstream string
 	Phase    Phase
@@ -88,12 +88,12 @@
 	Reports  map[string]float64 // Contribution to the score by reporter.
 }
 
-func (Publish) command() {}
-func (Decided) command() {}
+func (Publish) command()     {}
+func (LogDecision) command() {}
 
-// Judge is the outlier detector of one service: it decides which upstreams are out
+// OutlierDetector decides which upstreams of one service are out
 // of rotation. It is not safe for concurrent use.
-type Judge struct {
+type OutlierDetector struct {
 	scoreTable
 	policy      Policy
 	deciding    bool
@@ -101,7 +101,7 @@
 	observed    float64   // Observations in the current rateWindow.
 	windowStart time.Time // Start of the current rateWindow.
 	perDay      float64   // Observations per upstream and day, from the last full rateWindow.
-	set         []Standing
+	set         []EjectionState
 }
 
 // upstreamState is the internal state of one upstream.
@@ -114,20 +114,20 @@
 	trial        float64   // Log-likelihood ratio of the current trial.
 }
 
-// NewJudge returns a Judge that only collects evidence until Installed.
-func NewJudge(p Policy) *Judge {
-	return &Judge{scoreTable: newScoreTable(), policy: p, states: map[string]*upstreamState{}, perDay: initialPerDay}
+// NewOutlierDetector returns a detector that only collects evidence until StartDeciding.
+func NewOutlierDetector(p Policy) *OutlierDetector {
+	return &OutlierDetector{scoreTable: newScoreTable(), policy: p, states: map[string]*upstreamState{}, perDay: initialPerDay}
 }
 
 // SetPolicy replaces the policy.
-func (j *Judge) SetPolicy(p Policy) { j.policy = p }
+func (d *OutlierDetector) SetPolicy(p Policy) { d.policy = p }
 
 // Set returns the current ejection states, sorted by upstream.
-func (j *Judge) Set() []Standing { return j.set }
+func (d *OutlierDetector) Set() []EjectionState { return d.set }
 
 // Score returns an upstream's current score, for dumps.
-func (j *Judge) Score(upstream string) float64 {
-	if r := j.rows[upstream]; r != nil {
+func (d *OutlierDetector) Score(upstream string) float64 {
+	if r := d.rows[upstream]; r != nil {
 		return r.score()
 	}
 	return 0
@@ -135,76 +135,76 @@
 
 // Threshold returns the score at which an upstream is ejected: the logarithm of the
 // number of observations for each permitted false alarm.
-func (j *Judge) Threshold() float64 {
-	return math.Log(float64(len(alternatives)) * j.perDay / j.policy.Sensitivity)
+func (d *OutlierDetector) Threshold() float64 {
+	return math.Log(float64(len(alternatives)) * d.perDay / d.policy.Sensitivity)
 }
 
 // Update handles one message and returns the commands to carry out.
-func (j *Judge) Update(m Message) []Command {
+func (d *OutlierDetector) Update(m Message) []Command {
 	var commands []Command
 	switch m := m.(type) {
 	case Members:
-		commands = j.setMembers(m)
-	case Installed:
-		j.install()
-	case Dismissed:
-		j.deciding = false
-		j.states = map[string]*upstreamState{}
+		commands = d.setMembers(m)
+	case StartDeciding:
+		d.install()
+	case StopDeciding:
+		d.deciding = false
+		d.states = map[string]*upstreamState{}
 	case Evidence:
-		commands = j.addEvidence(m)
+		commands = d.addEvidence(m)
 	case Tick:
-		commands = j.tick(m.At)
+		commands = d.tick(m.At)
 	}
-	return j.publish(commands)
+	return d.publish(commands)
 }
 
 // install starts deciding with no upstream ejected, regardless of the previous
 // coordinator's decisions.
-func (j *Judge) install() {
-	j.deciding = true
-	for _, r := range j.rows {
+func (d *OutlierDetector) install() {
+	d.deciding = true
+	for _, r := range d.rows {
 		r.reset()
 	}
 }
 
 // setMembers updates the live upstreams. New ones start with a ramp.
-func (j *Judge) setMembers(m Members) []Command {
-	before := len(j.rows)
-	known := maps.Clone(j.rows)
-	j.scoreTable.setUpstreams(m.Upstreams)
-	for u := range j.states {
-		if j.rows[u] == nil {
-			delete(j.states, u)
+func (d *OutlierDetector) setMembers(m Members) []Command {
+	before := len(d.rows)
+	known := maps.Clone(d.rows)
+	d.scoreTable.setUpstreams(m.Upstreams)
+	for u := range d.states {
+		if d.rows[u] == nil {
+			delete(d.states, u)
 		}
 	}
 	var commands []Command
 	for _, u := range m.Upstreams {
 		// An upstream that joins a running service may be cold. The initial members
 		// do not need a ramp: ramping all of them would change nothing.
-		if before > 0 && known[u] == nil && j.deciding {
-			s := j.state(u)
-			commands = append(commands, j.ramp(m.At, u, s, "joined"))
+		if before > 0 && known[u] == nil && d.deciding {
+			s := d.state(u)
+			commands = append(commands, d.ramp(m.At, u, s, "joined"))
 		}
 	}
-	return append(commands, j.enforceFloor(m.At)...)
+	return append(commands, d.enforceFloor(m.At)...)
 }
 
 // state returns the state of an upstream, creating it if needed.
-func (j *Judge) state(u string) *upstreamState {
-	if j.states[u] == nil {
-		j.states[u] = &upstreamState{}
+func (d *OutlierDetector) state(u string) *upstreamState {
+	if d.states[u] == nil {
+		d.states[u] = &upstreamState{}
 	}
-	return j.states[u]
+	return d.states[u]
 }
 
 // maxEjected returns how many upstreams may be ejected without violating the floor.
-func (j *Judge) maxEjected() int { return max(len(j.rows)-j.policy.Floor, 0) }
+func (d *OutlierDetector) maxEjected() int { return max(len(d.rows)-d.policy.Floor, 0) }
 
 // possiblyOut returns how many upstreams any node may treat as ejected: those that
 // are, and those whose readmission may not have reached all nodes yet.
-func (j *Judge) possiblyOut(at time.Time) int {
+func (d *OutlierDetector) possiblyOut(at time.Time) int {
 	n := 0
-	for _, s := range j.states {
+	for _, s := range d.states {
 		if s.ejected() || at.Before(s.countedUntil) {
 			n++
 		}
@@ -214,19 +214,19 @@
 
 // enforceFloor readmits upstreams while more are ejected than the floor allows, for
 // example because others have left the service.
-func (j *Judge) enforceFloor(at time.Time) []Command {
+func (d *OutlierDetector) enforceFloor(at time.Time) []Command {
 	var commands []Command
-	for j.ejected() > j.maxEjected() {
-		u := j.fewestEjections()
-		commands = append(commands, j.readmit(at, u, "needed for the floor"))
+	for d.ejected() > d.maxEjected() {
+		u := d.fewestEjections()
+		commands = append(commands, d.readmit(at, u, "needed for the floor"))
 	}
 	return commands
 }
 
 // ejected returns how many upstreams are ejected.
-func (j *Judge) ejected() int {
+func (d *OutlierDetector) ejected() int {
 	n := 0
-	for _, s := range j.states {
+	for _, s := range d.states {
 		if s.ejected() {
 			n++
 		}
@@ -235,14 +235,14 @@
 }
 
 // fewestEjections returns the ejected upstream with the fewest recent ejections.
-func (j *Judge) fewestEjections() string {
+func (d *OutlierDetector) fewestEjections() string {
 	best := ""
-	for _, u := range slices.Sorted(maps.Keys(j.states)) {
-		s := j.states[u]
+	for _, u := range slices.Sorted(maps.Keys(d.states)) {
+		s := d.states[u]
 		if !s.ejected() {
 			continue
 		}
-		if best == "" || s.ejections < j.states[best].ejections {
+		if best == "" || s.ejections < d.states[best].ejections {
 			best = u
 		}
 	}
@@ -250,66 +250,66 @@
 }
 
 // addEvidence adds a node's evidence and ejects or readmits upstreams accordingly.
-func (j *Judge) addEvidence(e Evidence) []Command {
-	j.updateObservationRate(e)
-	j.scoreTable.observe(e.At, e.Reporter, e.Counts)
-	if !j.deciding {
+func (d *OutlierDetector) addEvidence(e Evidence) []Command {
+	d.updateObservationRate(e)
+	d.scoreTable.observe(e.At, e.Reporter, e.Counts)
+	if !d.deciding {
 		return nil
 	}
 	var commands []Command
 	for _, c := range e.Counts {
-		if j.rows[c.Upstream] == nil {
+		if d.rows[c.Upstream] == nil {
 			continue
 		}
-		s := j.state(c.Upstream)
+		s := d.state(c.Upstream)
 		switch s.phase {
 		case Trial:
-			commands = append(commands, j.evaluateTrial(e.At, c, s)...)
+			commands = append(commands, d.evaluateTrial(e.At, c, s)...)
 		case In, Ramp:
-			commands = append(commands, j.evaluateUpstream(e, c.Upstream, s)...)
+			commands = append(commands, d.evaluateUpstream(e, c.Upstream, s)...)
 		}
 	}
 	return commands
 }
 
 // updateObservationRate updates the number of observations per upstream and day.
-func (j *Judge) updateObservationRate(e Evidence) {
-	if j.windowStart.IsZero() {
-		j.windowStart = e.At
+func (d *OutlierDetector) updateObservationRate(e Evidence) {
+	if d.windowStart.IsZero() {
+		d.windowStart = e.At
 	}
 	for _, c := range e.Counts {
-		j.observed += float64(c.total())
+		d.observed += float64(c.total())
 	}
-	elapsed := e.At.Sub(j.windowStart)
-	if elapsed < rateWindow || len(j.rows) == 0 {
+	elapsed := e.At.Sub(d.windowStart)
+	if elapsed < rateWindow || len(d.rows) == 0 {
 		return
 	}
-	perDay := j.observed / elapsed.Seconds() * secondsPerDay / float64(len(j.rows))
-	j.perDay = min(max(perDay, minPerDay), maxPerDay)
-	j.observed, j.windowStart = 0, e.At
+	perDay := d.observed / elapsed.Seconds() * secondsPerDay / float64(len(d.rows))
+	d.perDay = min(max(perDay, minPerDay), maxPerDay)
+	d.observed, d.windowStart = 0, e.At
 }
 
 // evaluateUpstream ejects the upstream if its score reaches the threshold, the evidence
 // is corroborated, it is clearly worse than the others, and the floor allows it.
-func (j *Judge) evaluateUpstream(e Evidence, u string, s *upstreamState) []Command {
-	limit := j.Threshold()
-	r := j.rows[u]
-	if r.score() < limit || !j.corroborated(u, e, limit) || !j.scoreTable.worseThanOthers(u, limit) {
+func (d *OutlierDetector) evaluateUpstream(e Evidence, u string, s *upstreamState) []Command {
+	limit := d.Threshold()
+	r := d.rows[u]
+	if r.score() < limit || !d.corroborated(u, e, limit) || !d.scoreTable.worseThanOthers(u, limit) {
 		return nil
 	}
-	if j.possiblyOut(e.At) >= j.maxEjected() {
+	if d.possiblyOut(e.At) >= d.maxEjected() {
 		return nil // The floor takes precedence; the nodes' local weights still shift traffic.
 	}
-	return []Command{j.eject(e.At, u, s, limit)}
+	return []Command{d.eject(e.At, u, s, limit)}
 }
 
 // corroborated reports whether the evidence against an upstream cannot come from one
 // node's bad link alone. A single reporter is enough if it is beside the upstream and
 // so uses no link, or if no other node contributed to the score. Otherwise the other
 // reporters must contribute at least 1-maxReporterShare of the threshold.
-func (j *Judge) corroborated(u string, e Evidence, limit float64) bool {
-	r := j.rows[u]
-	if e.Beside == u || len(r.byReporter) == 1 {
+func (d *OutlierDetector) corroborated(u string, e Evidence, limit float64) bool {
+	r := d.rows[u]
+	if e.LocalUpstream == u || len(r.byReporter) == 1 {
 		return true
 	}
 	top := 0.0
@@ -320,16 +320,16 @@
 }
 
 // eject ejects the upstream and returns the decision to log.
-func (j *Judge) eject(at time.Time, u string, s *upstreamState, limit float64) Command {
-	r := j.rows[u]
+func (d *OutlierDetector) eject(at time.Time, u string, s *upstreamState, limit float64) Command {
+	r := d.rows[u]
 	reason := "failures"
 	if r.slowness() {
 		reason = "slow answers"
 	}
 	s.eject(at)
-	d := Decided{At: at, Upstream: u, Phase: Out, Reason: reason, Score: r.score(), Limit: limit, Reports: maps.Clone(r.byReporter)}
+	decision := LogDecision{At: at, Upstream: u, Phase: Out, Reason: reason, Score: r.score(), Limit: limit, Reports: maps.Clone(r.byReporter)}
 	r.reset()
-	return d
+	return decision
 }
 
 // ejected reports whether the upstream is out of rotation, which includes trials.
@@ -356,44 +356,44 @@
 // if it is as good as the others, and ejects it again if it is still unhealthy. It
 // compares with the others so that a trial can pass while the whole service does
 // badly.
-func (j *Judge) evaluateTrial(at time.Time, c Count, s *upstreamState) []Command {
-	failures, slow := j.scoreTable.baseline().rates(j.rows[c.Upstream])
+func (d *OutlierDetector) evaluateTrial(at time.Time, c Count, s *upstreamState) []Command {
+	failures, slow := d.scoreTable.baseline().rates(d.rows[c.Upstream])
 	s.trial += evidence(alternative{rate: trialRate}, c, failures, slow)
 	s.trial += evidence(alternative{rate: trialRate, slow: true}, Count{Fast: c.Fast, Slow: c.Slow}, failures, slow)
 	if s.trial >= trialReject {
 		s.eject(at)
-		return []Command{Decided{At: at, Upstream: c.Upstream, Phase: Out, Reason: "trial failed", Score: s.trial, Limit: trialReject}}
+		return []Command{LogDecision{At: at, Upstream: c.Upstream, Phase: Out, Reason: "trial failed", Score: s.trial, Limit: trialReject}}
 	}
 	if s.trial <= trialAccept {
-		return []Command{j.readmit(at, c.Upstream, "trial passed")}
+		return []Command{d.readmit(at, c.Upstream, "trial passed")}
 	}
 	return nil
 }
 
 // readmit returns an ejected upstream to rotation with a ramp.
-func (j *Judge) readmit(at time.Time, u, reason string) Command {
-	s := j.states[u]
+func (d *OutlierDetector) readmit(at time.Time, u, reason string) Command {
+	s := d.states[u]
 	s.countedUntil = at.Add(Settle)
 	s.forgetAt = at.Add(forgetAfter)
-	j.rows[u].reset()
-	return j.ramp(at, u, s, reason)
+	d.rows[u].reset()
+	return d.ramp(at, u, s, reason)
 }
 
 // ramp starts a slow start.
-func (j *Judge) ramp(at time.Time, u string, s *upstreamState, reason string) Command {
+func (d *OutlierDetector) ramp(at time.Time, u string, s *upstreamState, reason string) Command {
 	s.phase = Ramp
 	s.until = at.Add(rampTime)
-	return Decided{At: at, Upstream: u, Phase: Ramp, Reason: reason, Score: s.trial, Limit: trialAccept}
+	return LogDecision{At: at, Upstream: u, Phase: Ramp, Reason: reason, Score: s.trial, Limit: trialAccept}
 }
 
 // tick handles the ends of back-offs, trials and ramps.
-func (j *Judge) tick(at time.Time) []Command {
-	if !j.deciding {
+func (d *OutlierDetector) tick(at time.Time) []Command {
+	if !d.deciding {
 		return nil
 	}
 	var commands []Command
-	for _, u := range slices.Sorted(maps.Keys(j.states)) {
-		s := j.states[u]
+	for _, u := range slices.Sorted(maps.Keys(d.states)) {
+		s := d.states[u]
 		if s.ejections > 0 && (s.phase == In || s.phase == Ramp) && at.After(s.forgetAt) {
 			s.ejections = 0
 		}
@@ -404,44 +404,44 @@
 		case Out, Trial:
 			s.phase, s.trial = Trial, 0
 			s.until = at.Add(trialTimeout)
-			commands = append(commands, Decided{At: at, Upstream: u, Phase: Trial, Reason: "back-off over"})
+			commands = append(commands, LogDecision{At: at, Upstream: u, Phase: Trial, Reason: "back-off over"})
 		case Ramp:
 			s.phase = In
-			commands = append(commands, Decided{At: at, Upstream: u, Phase: In, Reason: "ramp over"})
+			commands = append(commands, LogDecision{At: at, Upstream: u, Phase: In, Reason: "ramp over"})
 		}
 	}
 	// Weights of ramps change with time, so a set is published at every tick.
-	return append(commands, Command(Publish{Set: j.ejectionStates(at)}))
+	return append(commands, Command(Publish{Set: d.ejectionStates(at)}))
 }
 
 // publish updates the current set and, if a decision changed it, appends a Publish.
-func (j *Judge) publish(commands []Command) []Command {
+func (d *OutlierDetector) publish(commands []Command) []Command {
 	at := time.Time{}
 	for _, c := range commands {
 		switch c := c.(type) {
 		case Publish:
-			j.set = c.Set
+			d.set = c.Set
 			return commands
-		case Decided:
+		case LogDecision:
 			at = c.At
 		}
 	}
 	if at.IsZero() {
 		return commands
 	}
-	j.set = j.ejectionStates(at)
-	return append(commands, Publish{Set: j.set})
+	d.set = d.ejectionStates(at)
+	return append(commands, Publish{Set: d.set})
 }
 
 // ejectionStates returns the ejection states at a time, sorted by upstream.
-func (j *Judge) ejectionStates(at time.Time) []Standing {
-	var set []Standing
-	for _, u := range slices.Sorted(maps.Keys(j.states)) {
-		s := j.states[u]
+func (d *OutlierDetector) ejectionStates(at time.Time) []EjectionState {
+	var set []EjectionState
+	for _, u := range slices.Sorted(maps.Keys(d.states)) {
+		s := d.states[u]
 		if s.phase == In {
 			continue
 		}
-		set = append(set, Standing{Upstream: u, Phase: s.phase, Weight: s.weight(at)})
+		set = append(set, EjectionState{Upstream: u, Phase: s.phase, Weight: s.weight(at)})
 	}
 	return set
 }
--- a/core/percentile.go
+++ b/core/percentile.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Usual estimates a latency percentile of a route: the response time that 95% of
+// LatencyPercentile estimates for a route the response time that 95% of
 // its requests stay under. Each response moves the estimate up or down by a
 // fraction of its value, so that it needs one number and no lock, and is
 // independent of how heavy the tail is. It is safe for concurrent use.
-type Usual struct {
+type LatencyPercentile struct {
 	bits  atomic.Uint64 // float64 bits, in seconds; 0 before the first response.
 	count atomic.Uint32
 }
@@ -35,18 +35,18 @@
 )
 
 // Add adds one response time.
-func (u *Usual) Add(d time.Duration) {
+func (p *LatencyPercentile) Add(d time.Duration) {
 	x := d.Seconds()
-	n := u.count.Add(1)
+	n := p.count.Add(1)
 	step := max(initialStep/math.Sqrt(float64(n)), minStep)
 	for {
-		old := u.bits.Load()
+		old := p.bits.Load()
 		q := math.Float64frombits(old)
 		next := x
 		if old != 0 {
 			next = q * stepFactor(x, q, step)
 		}
-		if u.bits.CompareAndSwap(old, math.Float64bits(next)) {
+		if p.bits.CompareAndSwap(old, math.Float64bits(next)) {
 			return
 		}
 	}
@@ -61,14 +61,16 @@
 	return 1 - step*(1-quantile)
 }
 
-// Cut returns the threshold above which a response is slow.
-func (u *Usual) Cut() time.Duration {
-	if u.count.Load() < minResponses {
+// Threshold returns the threshold above which a response is slow.
+func (p *LatencyPercentile) Threshold() time.Duration {
+	if p.count.Load() < minResponses {
 		return defaultThreshold
 	}
-	q := math.Float64frombits(u.bits.Load())
+	q := math.Float64frombits(p.bits.Load())
 	return max(time.Duration(q*float64(time.Second)), minThreshold)
 }
 
-// Stall returns the threshold above which an unanswered request counts as failed.
-func (u *Usual) Stall() time.Duration { return max(stallFactor*u.Cut(), minStall) }
+// StallThreshold returns the threshold above which an unanswered request counts as failed.
+func (p *LatencyPercentile) StallThreshold() time.Duration {
+	return max(stallFactor*p.Threshold(), minStall)
+}
--- a/core/script_test.go
+++ b/core/script_test.go
@@ -83,14 +83,14 @@
 	}
 }
 
-// scriptRun runs a script against a Judge in simulated time and records its decisions.
+// scriptRun runs a script against an OutlierDetector in simulated time and records its decisions.
 type scriptRun struct {
 	script    *script
-	judge     *Judge
+	detector  *OutlierDetector
 	random    *rand.Rand
 	start     time.Time
 	phases    map[string]Phase
-	history   []Decided
+	history   []LogDecision
 	maxOut    int
 	ejections map[string]int
 }
@@ -102,20 +102,20 @@
 	start := time.Unix(1_000_000, 0)
 	r := &scriptRun{
 		script: s, random: rand.New(rand.NewPCG(seed, seed)), start: start,
-		judge:  NewJudge(Policy{Floor: s.Policy.Floor, Sensitivity: s.Policy.Sensitivity, OnlyAtMostOnce: s.Policy.OnlyAtMostOnce}),
-		phases: map[string]Phase{}, ejections: map[string]int{},
+		detector: NewOutlierDetector(Policy{Floor: s.Policy.Floor, Sensitivity: s.Policy.Sensitivity, OnlyAtMostOnce: s.Policy.OnlyAtMostOnce}),
+		phases:   map[string]Phase{}, ejections: map[string]int{},
 	}
-	r.record(r.judge.Update(Members{At: start, Upstreams: s.Upstreams}))
-	r.record(r.judge.Update(Installed{At: start}))
+	r.record(r.detector.Update(Members{At: start, Upstreams: s.Upstreams}))
+	r.record(r.detector.Update(StartDeciding{At: start}))
 	at := start
 	for _, phase := range s.Phases {
 		for end := at.Add(phase.For); at.Before(end); at = at.Add(scriptStep) {
 			for _, reporter := range s.Reporters {
 				if counts := r.counts(phase, reporter); len(counts) > 0 {
-					r.record(r.judge.Update(Evidence{At: at, Reporter: reporter, Counts: counts}))
+					r.record(r.detector.Update(Evidence{At: at, Reporter: reporter, Counts: counts}))
 				}
 			}
-			r.record(r.judge.Update(Tick{At: at}))
+			r.record(r.detector.Update(Tick{At: at}))
 		}
 	}
 	r.check(t, seed)
@@ -190,12 +190,12 @@
 // record records the decisions among commands.
 func (r *scriptRun) record(commands []Command) {
 	for _, c := range commands {
-		if d, ok := c.(Decided); ok {
-			if d.Phase == Out {
-				r.ejections[d.Upstream]++
+		if decision, ok := c.(LogDecision); ok {
+			if decision.Phase == Out {
+				r.ejections[decision.Upstream]++
 			}
-			r.phases[d.Upstream] = d.Phase
-			r.history = append(r.history, d)
+			r.phases[decision.Upstream] = decision.Phase
+			r.history = append(r.history, decision)
 		}
 	}
 	out := 0
@@ -224,9 +224,9 @@
 
 // decided reports whether the upstream reached a phase as expected.
 func (r *scriptRun) decided(e expectation, p Phase) bool {
-	for _, d := range r.history {
-		after := d.At.Sub(r.start) - e.From
-		if d.Upstream == e.Upstream && d.Phase == p && after >= 0 && after <= e.Within {
+	for _, decision := range r.history {
+		after := decision.At.Sub(r.start) - e.From
+		if decision.Upstream == e.Upstream && decision.Phase == p && after >= 0 && after <= e.Within {
 			return true
 		}
 	}
--- a/core/weights.go
+++ b/core/weights.go
@@ -14,37 +14,37 @@
 	scoreHalfLife = 5 * time.Second // Half-life of the scores, which would otherwise stay up without traffic.
 )
 
-// Avoider holds a node's local weights: it reduces the weight of upstreams that look
+// LocalWeights reduces the weight of upstreams that look
 // unhealthy from this node, at once and without coordination. It never reduces a
 // weight to zero, so it ejects nothing and cannot violate a floor.
-type Avoider struct {
+type LocalWeights struct {
 	scoreTable
 	lastTick time.Time
 }
 
-// NewAvoider returns an Avoider without upstreams.
-func NewAvoider() *Avoider { return &Avoider{scoreTable: newScoreTable()} }
+// NewLocalWeights returns LocalWeights without upstreams.
+func NewLocalWeights() *LocalWeights { return &LocalWeights{scoreTable: newScoreTable()} }
 
 // Update handles Members, Evidence from this node, and Tick.
-func (a *Avoider) Update(m Message) {
+func (w *LocalWeights) Update(m Message) {
 	switch m := m.(type) {
 	case Members:
-		a.scoreTable.setUpstreams(m.Upstreams)
+		w.scoreTable.setUpstreams(m.Upstreams)
 	case Evidence:
-		a.scoreTable.observe(m.At, m.Reporter, m.Counts)
+		w.scoreTable.observe(m.At, m.Reporter, m.Counts)
 	case Tick:
-		a.decay(m.At)
+		w.decay(m.At)
 	}
 }
 
 // decay reduces all scores by the time since the last tick.
-func (a *Avoider) decay(at time.Time) {
-	if a.lastTick.IsZero() {
-		a.lastTick = at
+func (w *LocalWeights) decay(at time.Time) {
+	if w.lastTick.IsZero() {
+		w.lastTick = at
 	}
-	factor := math.Exp2(-at.Sub(a.lastTick).Seconds() / scoreHalfLife.Seconds())
-	a.lastTick = at
-	for _, r := range a.rows {
+	factor := math.Exp2(-at.Sub(w.lastTick).Seconds() / scoreHalfLife.Seconds())
+	w.lastTick = at
+	for _, r := range w.rows {
 		for i := range r.scores {
 			r.scores[i] *= factor
 		}
@@ -52,17 +52,17 @@
 }
 
 // Weight returns the factor for an upstream's share of this node's requests.
-func (a *Avoider) Weight(upstream string) float64 {
-	r := a.rows[upstream]
+func (w *LocalWeights) Weight(upstream string) float64 {
+	r := w.rows[upstream]
 	if r == nil || r.score() < reduceAt {
 		return fullWeight
 	}
 	return reducedWeight
 }
 
-// Suspects reports whether an upstream's score is so high that its response times
+// Unreliable reports whether an upstream's score is so high that its response times
 // must be left out of the route's latency percentile.
-func (a *Avoider) Suspects(upstream string) bool {
-	r := a.rows[upstream]
+func (w *LocalWeights) Unreliable(upstream string) bool {
+	r := w.rows[upstream]
 	return r != nil && r.score() > reduceAt/2
 }
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -50,7 +50,7 @@
 	table     atomic.Pointer[route.Table]
 	origin    uint64 // Identifies this process's offers; differs after a restart.
 	number    atomic.Uint64
-	latencies sync.Map // *core.Usual by route name.
+	latencies sync.Map // *core.LatencyPercentile by route name.
 	mu        sync.Mutex
 	requests  map[uint64]*inFlightRequest
 }
@@ -186,12 +186,12 @@
 
 // latencyOf returns a route's latency percentile, which is kept when the configuration
 // changes.
-func (f *Forwarder) latencyOf(r *route.Route) *core.Usual {
+func (f *Forwarder) latencyOf(r *route.Route) *core.LatencyPercentile {
 	if u, ok := f.latencies.Load(r.Name); ok {
-		return u.(*core.Usual)
+		return u.(*core.LatencyPercentile)
 	}
-	u, _ := f.latencies.LoadOrStore(r.Name, &core.Usual{})
-	return u.(*core.Usual)
+	u, _ := f.latencies.LoadOrStore(r.Name, &core.LatencyPercentile{})
+	return u.(*core.LatencyPercentile)
 }
 
 // callerTimeout returns the shorter of the caller's and the operator's timeout.
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -32,7 +32,7 @@
 	regions        route.Regions  // Where it may run.
 	attempt        string
 	content        *link.Content
-	latency        *core.Usual // Latency percentile of the route.
+	latency        *core.LatencyPercentile // Latency percentile of the route.
 	arrived        time.Time
 	deadline       time.Time
 	requirements   overload.Terms
--- a/ingress/inflight_test.go
+++ b/ingress/inflight_test.go
@@ -54,7 +54,7 @@
 		all = append(all, n)
 		sinks = append(sinks, sink)
 	}
-	req := &inFlightRequest{forwarder: f, route: &route.Route{Target: time.Second, Attempts: 2}, service: "a", latency: &core.Usual{},
+	req := &inFlightRequest{forwarder: f, route: &route.Route{Target: time.Second, Attempts: 2}, service: "a", latency: &core.LatencyPercentile{},
 		content: &link.Content{}, arrived: now, deadline: now.Add(3 * time.Second), events: make(chan event, eventBuffer), saturated: func() bool { return true }}
 	req.requirements = overload.NewTerms(0, now, req.route.Target, req.deadline)
 	req.offerNext(now)
--- a/ingress/offer.go
+++ b/ingress/offer.go
@@ -94,7 +94,7 @@
 	}
 	o.started = now
 	f.budgetDenials = 0
-	o.hedgeAt = now.Add(time.Duration(hedgeFactor * float64(f.latency.Cut())))
+	o.hedgeAt = now.Add(time.Duration(hedgeFactor * float64(f.latency.Threshold())))
 }
 
 // undoRun records that an offer has not run after all. reached reports whether the request
--- a/ingress/unresponsive_test.go
+++ b/ingress/unresponsive_test.go
@@ -69,7 +69,7 @@
 // newOrder returns an order that arrives now, with a target of 1.5 seconds.
 func newOrder(f *Forwarder, now time.Time) *inFlightRequest {
 	r := &route.Route{Target: 1500 * time.Millisecond, Attempts: 2}
-	req := &inFlightRequest{forwarder: f, route: r, service: "a", latency: &core.Usual{}, content: &link.Content{}, arrived: now,
+	req := &inFlightRequest{forwarder: f, route: r, service: "a", latency: &core.LatencyPercentile{}, content: &link.Content{}, arrived: now,
 		deadline: now.Add(5 * time.Second), events: make(chan event, eventBuffer), saturated: func() bool { return true }}
 	req.requirements = overload.NewTerms(0, now, r.Target, req.deadline)
 	return req
--- a/node/evidence.go
+++ b/node/evidence.go
@@ -77,10 +77,10 @@
 		if len(counts) == 0 {
 			continue
 		}
-		own := core.Evidence{At: now, Reporter: g.node.identity.Node, Beside: g.node.settings.Beside(), Counts: counts}
+		own := core.Evidence{At: now, Reporter: g.node.identity.Node, LocalUpstream: g.node.settings.Beside(), Counts: counts}
 		s.local.Update(own)
 		for _, c := range counts {
-			suspicious = suspicious || c.Failed+c.Slow > 0 && s.local.Suspects(c.Upstream)
+			suspicious = suspicious || c.Failed+c.Slow > 0 && s.local.Unreliable(c.Upstream)
 		}
 		if g.leading() {
 			g.execute(name, s, s.detector.Update(own))
@@ -130,7 +130,7 @@
 func (g *Group) execute(name string, s *service, commands []core.Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
-		case core.Decided:
+		case core.LogDecision:
 			g.logDecision(name, c)
 		case core.Publish:
 			g.publish(name, c.Set)
@@ -141,7 +141,7 @@
 	}
 }
 
-func (g *Group) logDecision(service string, d core.Decided) {
+func (g *Group) logDecision(service string, d core.LogDecision) {
 	g.node.decisions.Add(d.Phase.String(), 1)
 	g.log.Info("upstream "+d.Phase.String(),
 		zap.String("service", service),
--- a/node/group.go
+++ b/node/group.go
@@ -30,8 +30,8 @@
 	services       map[string]*service
 	view           core.View
 	window         time.Duration // How long an operation key is kept.
-	claims         *core.Claims
-	operations     *core.Ledger
+	claims         *core.ClaimTable
+	operations     *core.OperationTable
 	finished       map[core.Key]chan struct{} // Closed when an operation of this node ends.
 	roster         peer.Roster
 	leader         peer.Leader
@@ -54,7 +54,7 @@
 type service struct {
 	balancer  *proxy.Service
 	upstreams map[string]*member // By name.
-	detector  *core.Judge
+	detector  *core.OutlierDetector
 	local     Local
 	pending   map[string]core.Count // Evidence not yet sent.
 	suspects  atomic.Pointer[map[string]bool]
@@ -84,8 +84,8 @@
 		lastContact: time.Now(),
 		window:      defaultRepeatWindow,
 	}
-	g.claims = core.NewClaims(g.window)
-	g.operations = core.NewLedger(g.window+operationMargin, maxAnswerBytes)
+	g.claims = core.NewClaimTable(g.window)
+	g.operations = core.NewOperationTable(g.window+operationMargin, maxAnswerBytes)
 	g.balancers.Store(&map[string]*proxy.Service{})
 	return g
 }
@@ -136,14 +136,14 @@
 }
 
 func (g *Group) newService(policy *config.Service) *service {
-	var local Local = core.NewAvoider()
+	var local Local = core.NewLocalWeights()
 	if g.node.newLocal != nil {
 		local = g.node.newLocal(detectorPolicy(policy))
 	}
 	return &service{
 		balancer:  proxy.NewService(policy),
 		upstreams: map[string]*member{},
-		detector:  core.NewJudge(detectorPolicy(policy)),
+		detector:  core.NewOutlierDetector(detectorPolicy(policy)),
 		local:     local,
 		pending:   map[string]core.Count{},
 	}
@@ -215,7 +215,7 @@
 // updateBalancer applies the decisions in force and the local weights to a
 // service's balancer.
 func (g *Group) updateBalancer(name string, s *service) {
-	states := map[string]core.Standing{}
+	states := map[string]core.EjectionState{}
 	for _, state := range g.view.Set(name) {
 		states[state.Upstream] = state
 	}
@@ -232,7 +232,7 @@
 				share.Alone = share.Weight
 			}
 		}
-		if s.local.Suspects(name) || share.Phase == core.Out || share.Phase == core.Trial {
+		if s.local.Unreliable(name) || share.Phase == core.Out || share.Phase == core.Trial {
 			suspects[name] = true
 		}
 		shares = append(shares, share)
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -178,7 +178,7 @@
 	if !r.Coordinator || r.Stamped == nil {
 		return
 	}
-	changed := g.view.Told(*r.Stamped, sentAt)
+	changed := g.view.Receive(*r.Stamped, sentAt)
 	if r.Stamped.Epoch == g.view.Epoch() {
 		g.lastContact = time.Now()
 	}
--- a/node/leader.go
+++ b/node/leader.go
@@ -32,13 +32,13 @@
 	epoch         uint64
 	startedAt     time.Time
 	sequence      uint64
-	sets          map[string][]core.Standing // Published ejection states, by service.
-	promisedAt    time.Time                  // When the last node promised the epoch, or decisions were last suspended; zero before.
-	deciding      bool                       // The outlier detectors may eject.
-	confirmedAt   time.Time                  // When another node last showed that it has promised no later epoch.
-	lastHeartbeat map[string]time.Time       // By node.
-	incarnations  map[string]uint64          // By node.
-	stopping      map[string]bool            // Nodes that announced a planned stop.
+	sets          map[string][]core.EjectionState // Published ejection states, by service.
+	promisedAt    time.Time                       // When the last node promised the epoch, or decisions were last suspended; zero before.
+	deciding      bool                            // The outlier detectors may eject.
+	confirmedAt   time.Time                       // When another node last showed that it has promised no later epoch.
+	lastHeartbeat map[string]time.Time            // By node.
+	incarnations  map[string]uint64               // By node.
+	stopping      map[string]bool                 // Nodes that announced a planned stop.
 	cancel        context.CancelFunc
 }
 
@@ -58,7 +58,7 @@
 	if !l.deciding && !l.promisedAt.IsZero() && settled && confirmed && g.node.newLocal == nil {
 		l.deciding = true
 		for _, s := range g.services {
-			s.detector.Update(core.Installed{At: now})
+			s.detector.Update(core.StartDeciding{At: now})
 		}
 		g.log.Info("deciding", zap.Uint64("epoch", l.epoch))
 	}
@@ -66,7 +66,7 @@
 		g.suspend("no other node confirms")
 	}
 	if confirmed {
-		g.view.Told(g.stamped(), l.confirmedAt)
+		g.view.Receive(g.published(), l.confirmedAt)
 		g.lastContact = now
 	}
 	g.updateLoads(now)
@@ -78,9 +78,9 @@
 	g.log.Warn("not deciding", zap.String("reason", reason))
 	g.lead.deciding = false
 	g.lead.promisedAt = time.Now() // Leases of earlier decisions must expire first.
-	g.lead.sets = map[string][]core.Standing{}
+	g.lead.sets = map[string][]core.EjectionState{}
 	for _, s := range g.services {
-		s.detector.Update(core.Dismissed{At: time.Now()})
+		s.detector.Update(core.StopDeciding{At: time.Now()})
 	}
 }
 
@@ -128,15 +128,15 @@
 	g.lastTerm = pastTerm{epoch: g.lead.epoch, complete: g.claims.Complete(time.Now())}
 	g.lead.cancel()
 	g.lead = nil
-	g.claims.Update(core.Dismissed{At: time.Now()})
+	g.claims.Update(core.StopDeciding{At: time.Now()})
 	for _, s := range g.services {
-		s.detector.Update(core.Dismissed{At: time.Now()})
+		s.detector.Update(core.StopDeciding{At: time.Now()})
 	}
 	g.log.Info("no longer coordinator")
 }
 
 // publish replaces the decisions on a service's upstreams and broadcasts them.
-func (g *Group) publish(service string, set []core.Standing) {
+func (g *Group) publish(service string, set []core.EjectionState) {
 	if !g.leading() {
 		return
 	}
@@ -147,13 +147,13 @@
 	l.sets = maps.Clone(l.sets) // The old map may still be being encoded for other nodes.
 	l.sets[service] = set
 	l.sequence++
-	stamped := g.stamped()
-	g.view.Told(stamped, time.Time{})
-	g.broadcast(&peer.Push{Stamped: &stamped})
+	published := g.published()
+	g.view.Receive(published, time.Time{})
+	g.broadcast(&peer.Push{Stamped: &published})
 }
 
-func (g *Group) stamped() core.Stamped {
-	return core.Stamped{Epoch: g.lead.epoch, Sequence: g.lead.sequence, Sets: g.lead.sets}
+func (g *Group) published() core.PublishedStates {
+	return core.PublishedStates{Epoch: g.lead.epoch, Sequence: g.lead.sequence, Sets: g.lead.sets}
 }
 
 // broadcast pushes p to every other node without waiting. Call it with mu held.
--- a/node/node.go
+++ b/node/node.go
@@ -73,9 +73,9 @@
 	Update(m core.Message)
 	// Weight returns the factor for an upstream's share, 0 to send it nothing.
 	Weight(upstream string) float64
-	// Suspects reports whether the response times of an upstream must be left out of
+	// Unreliable reports whether the response times of an upstream must be left out of
 	// the latency statistics.
-	Suspects(upstream string) bool
+	Unreliable(upstream string) bool
 }
 
 // WithLocal replaces the local weights of package core and turns off ejection by the
--- a/node/operations.go
+++ b/node/operations.go
@@ -50,16 +50,16 @@
 // before. keyCreated is when the key was created, or zero if it does not contain
 // its time.
 func (g *Group) Begin(ctx context.Context, key core.Key, body uint64, keyCreated time.Time) (proxy.Operation, *core.Recorded, *result.Error) {
-	var instead core.Holder
+	var replaces core.Holder
 	for range maxClaims {
 		r, isNew := g.begin(key, body)
 		if !isNew {
 			return g.answerRepeat(ctx, key, body, r)
 		}
-		if r.Previous != 0 && instead == (core.Holder{}) {
-			instead = g.holder(r.Previous)
+		if r.Previous != 0 && replaces == (core.Holder{}) {
+			replaces = g.holder(r.Previous)
 		}
-		c := &peer.Claim{Key: key, Body: body, Holder: g.holder(r.Attempt), Instead: instead}
+		c := &peer.Claim{Key: key, Body: body, Holder: g.holder(r.Attempt), Instead: replaces}
 		if !keyCreated.IsZero() {
 			c.Born = keyCreated.UnixMilli()
 		}
@@ -74,10 +74,10 @@
 		case core.OtherBody:
 			g.abandon(key, r.Attempt)
 			return nil, nil, result.New(result.KeyReused, "the key was used with another request")
-		case core.Ahead:
+		case core.KeyInFuture:
 			g.abandon(key, r.Attempt)
 			return nil, nil, result.New(result.BadRequest, "the key's time is ahead of ours; set the clock that makes keys")
-		case core.Unsure:
+		case core.Unconfirmed:
 			g.abandon(key, r.Attempt)
 			return nil, nil, unconfirmed("a new coordinator is still asking the nodes")
 		case core.HeldBy:
@@ -86,7 +86,7 @@
 			if !free {
 				return nil, recorded, refused
 			}
-			instead = answer.Holder
+			replaces = answer.Holder
 		default:
 			g.abandon(key, r.Attempt)
 			return nil, nil, unconfirmed("there is no coordinator")
@@ -121,7 +121,7 @@
 func (g *Group) abandon(key core.Key, attempt uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.operations.Update(core.GiveUp{Key: key, Attempt: attempt})
+	g.operations.Update(core.Abandon{Key: key, Attempt: attempt})
 	g.notifyWaiters(key)
 }
 
@@ -208,7 +208,7 @@
 	for r.Stage == core.Claiming || r.Stage == core.Running {
 		g.mu.Lock()
 		done := g.finished[key]
-		r = g.operations.Update(core.Look{Key: key})
+		r = g.operations.Update(core.Peek{Key: key})
 		g.mu.Unlock()
 		if done == nil {
 			break
--- a/node/peers.go
+++ b/node/peers.go
@@ -80,8 +80,8 @@
 		g.markLeaving(r)
 	}
 	reply.Coordinator = true
-	stamped := g.stamped()
-	reply.Stamped = &stamped
+	published := g.published()
+	reply.Stamped = &published
 	if !g.lastCrash.IsZero() {
 		reply.CrashedAgo = int64(now.Sub(g.lastCrash))
 	}
@@ -91,7 +91,7 @@
 func (g *Group) applyEvidence(from peer.Identity, h *peer.Heartbeat, now time.Time) {
 	for name, tallies := range h.Evidence {
 		if s := g.services[name]; s != nil {
-			e := core.Evidence{At: now, Reporter: from.Node, Beside: h.Beside, Counts: g.counts(name, tallies)}
+			e := core.Evidence{At: now, Reporter: from.Node, LocalUpstream: h.Beside, Counts: g.counts(name, tallies)}
 			g.execute(name, s, s.detector.Update(e))
 		}
 	}
@@ -186,7 +186,7 @@
 	if p.Leader != nil {
 		g.adoptLeader(*p.Leader)
 	}
-	if p.Stamped != nil && g.view.Told(*p.Stamped, time.Time{}) {
+	if p.Stamped != nil && g.view.Receive(*p.Stamped, time.Time{}) {
 		for name, s := range g.services {
 			g.updateBalancer(name, s)
 		}
@@ -225,9 +225,9 @@
 		// coordinator, which could then not collect its operations.
 		return &core.Answer{Verdict: core.Refused}
 	}
-	claim := core.Claim{At: time.Now(), Key: c.Key, Body: c.Body, Holder: c.Holder, Instead: c.Instead}
+	claim := core.Claim{At: time.Now(), Key: c.Key, Body: c.Body, Holder: c.Holder, Replaces: c.Instead}
 	if c.Born != 0 {
-		claim.Born = time.UnixMilli(c.Born)
+		claim.KeyCreated = time.UnixMilli(c.Born)
 	}
 	answer := g.claims.Update(claim)
 	return &answer
@@ -237,7 +237,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	own := i.Holder.Node == g.node.identity.Node && i.Holder.Incarnation == g.node.identity.Incarnation
-	r := g.operations.Update(core.Inquire{Key: i.Key, Holder: i.Holder, Own: own})
+	r := g.operations.Update(core.Query{Key: i.Key, Holder: i.Holder, Own: own})
 	return &peer.Inquired{Stage: r.Stage, Answer: r.Answer}
 }
 
--- a/node/takeover.go
+++ b/node/takeover.go
@@ -29,7 +29,7 @@
 	g.lead = &leadership{
 		epoch:         epoch,
 		startedAt:     now,
-		sets:          map[string][]core.Standing{},
+		sets:          map[string][]core.EjectionState{},
 		lastHeartbeat: map[string]time.Time{},
 		incarnations:  map[string]uint64{},
 		stopping:      map[string]bool{},
@@ -55,7 +55,7 @@
 	if epoch > 1 && len(from) == 0 {
 		uncertainUntil = now.Add(g.window) // No other node could have a record of grants.
 	}
-	g.claims.Update(core.TakeOver{At: now, Epoch: epoch, From: from, Lost: uncertainUntil})
+	g.claims.Update(core.TakeOver{At: now, Epoch: epoch, From: from, LostUntil: uncertainUntil})
 	own := g.operations.Held(g.holder(0))
 	for _, from := range g.operations.Adopted() {
 		g.claims.Update(core.Moved{From: from, To: g.holder(0)})
@@ -160,6 +160,6 @@
 	for _, from := range c.Adopted {
 		g.claims.Update(core.Moved{From: from, To: c.By})
 	}
-	g.claims.Update(core.Collected{At: now, Node: node, Held: c.Held, Lost: uncertainUntil, Complete: c.Complete})
+	g.claims.Update(core.Collected{At: now, Node: node, Held: c.Held, LostUntil: uncertainUntil, Complete: c.Complete})
 	g.lead.confirmedAt = now
 }
--- a/peer/message.go
+++ b/peer/message.go
@@ -89,16 +89,16 @@
 // a lease that starts when the heartbeat was sent. A node that is not the coordinator
 // sends no decisions or loads, but configuration, its roster and the current Leader.
 type HeartbeatReply struct {
-	Coordinator bool              `cbor:"1,keyasint,omitempty"`
-	Stamped     *core.Stamped     `cbor:"2,keyasint,omitempty"`
-	Shards      map[string][]byte `cbor:"3,keyasint,omitempty"`
-	Roster      *Roster           `cbor:"4,keyasint,omitempty"`
-	Load        map[string][]Load `cbor:"5,keyasint,omitempty"`  // In-flight requests of all nodes, by service.
-	WantFull    bool              `cbor:"6,keyasint,omitempty"`  // The digests differ: send the sequences.
-	CrashedAgo  int64             `cbor:"7,keyasint,omitempty"`  // Nanoseconds since a node was last lost without a planned stop; 0 for never.
-	Leader      *Leader           `cbor:"8,keyasint,omitempty"`  // Not from the coordinator: the sender's latest known assignment.
-	HeardLeader bool              `cbor:"9,keyasint,omitempty"`  // The sender had recent contact with Leader.
-	Sequences   map[string]uint64 `cbor:"10,keyasint,omitempty"` // Set if the sender of the heartbeat has newer shards, which it then pushes.
+	Coordinator bool                  `cbor:"1,keyasint,omitempty"`
+	Stamped     *core.PublishedStates `cbor:"2,keyasint,omitempty"`
+	Shards      map[string][]byte     `cbor:"3,keyasint,omitempty"`
+	Roster      *Roster               `cbor:"4,keyasint,omitempty"`
+	Load        map[string][]Load     `cbor:"5,keyasint,omitempty"`  // In-flight requests of all nodes, by service.
+	WantFull    bool                  `cbor:"6,keyasint,omitempty"`  // The digests differ: send the sequences.
+	CrashedAgo  int64                 `cbor:"7,keyasint,omitempty"`  // Nanoseconds since a node was last lost without a planned stop; 0 for never.
+	Leader      *Leader               `cbor:"8,keyasint,omitempty"`  // Not from the coordinator: the sender's latest known assignment.
+	HeardLeader bool                  `cbor:"9,keyasint,omitempty"`  // The sender had recent contact with Leader.
+	Sequences   map[string]uint64     `cbor:"10,keyasint,omitempty"` // Set if the sender of the heartbeat has newer shards, which it then pushes.
 }
 
 // Leader is the assignment in the store, which names the coordinator of a template.
@@ -140,10 +140,10 @@
 // Push sends changes at once, without waiting for the next heartbeat, which would
 // carry them too.
 type Push struct {
-	Stamped *core.Stamped     `cbor:"1,keyasint,omitempty"`
-	Shards  map[string][]byte `cbor:"2,keyasint,omitempty"`
-	Roster  *Roster           `cbor:"3,keyasint,omitempty"`
-	Leader  *Leader           `cbor:"4,keyasint,omitempty"`
+	Stamped *core.PublishedStates `cbor:"1,keyasint,omitempty"`
+	Shards  map[string][]byte     `cbor:"2,keyasint,omitempty"`
+	Roster  *Roster               `cbor:"3,keyasint,omitempty"`
+	Leader  *Leader               `cbor:"4,keyasint,omitempty"`
 }
 
 // Claim asks the coordinator for the right to start an operation. Instead names a
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -49,7 +49,7 @@
 	account  *config.Account
 	route    *config.Route
 	service  *Service
-	latency  *core.Usual
+	latency  *core.LatencyPercentile
 	request  *http.Request
 	path     string    // Without the account segment.
 	body     []byte    // The complete body, unless stream is set.
@@ -124,7 +124,7 @@
 func (h *Handler) exchange(ctx context.Context, c *call, u *Upstream, dedicated bool) (*answer, *failure) {
 	t := &attempt{call: c, upstream: u, dedicated: dedicated, started: time.Now()}
 	ctx, t.cancel = context.WithDeadline(ctx, c.deadline)
-	t.inFlight = u.track(t.started, c.latency.Cut(), c.latency.Stall())
+	t.inFlight = u.track(t.started, c.latency.Threshold(), c.latency.StallThreshold())
 	response, err := t.send(ctx)
 	if err != nil {
 		return nil, t.fail(c.classify(err))
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -31,7 +31,7 @@
 	node       string
 	limits     Limits
 	attributor *attributor
-	latencies  sync.Map // *core.Usual by routeKey.
+	latencies  sync.Map // *core.LatencyPercentile by routeKey.
 	stopping   atomic.Bool
 	isSuspect  func(*Upstream) bool
 	results    *expvar.Map
@@ -145,13 +145,13 @@
 
 // latencyOf returns the latency percentile of a route. It is keyed by name, because
 // a new version of the template has new route objects.
-func (h *Handler) latencyOf(t *config.Template, r *config.Route) *core.Usual {
+func (h *Handler) latencyOf(t *config.Template, r *config.Route) *core.LatencyPercentile {
 	key := routeKey{t.Name(), r.Service().Name(), r.Name()}
 	if u, ok := h.latencies.Load(key); ok {
-		return u.(*core.Usual)
+		return u.(*core.LatencyPercentile)
 	}
-	u, _ := h.latencies.LoadOrStore(key, &core.Usual{})
-	return u.(*core.Usual)
+	u, _ := h.latencies.LoadOrStore(key, &core.LatencyPercentile{})
+	return u.(*core.LatencyPercentile)
 }
 
 type routeKey struct{ template, service, route string }
--- a/proxy/retryable.go
+++ b/proxy/retryable.go
@@ -51,7 +51,7 @@
 // run runs the attempts and returns the result for the caller.
 func (r *race) run() attemptResult {
 	r.start()
-	hedge := time.NewTimer(r.call.latency.Cut())
+	hedge := time.NewTimer(r.call.latency.Threshold())
 	defer hedge.Stop()
 	for r.running > 0 {
 		select {
