--- a/gate/abandoned.go
+++ b/gate/abandoned.go
@@ -19,7 +19,7 @@
 // abandonedAttempt is an attempt that the gate canceled. The upstream may go on running it, so
 // a request that crashes upstreams would go unnoticed if its callers always left first.
 type abandonedAttempt struct {
-	fingerprint quarantine.Print
+	fingerprint quarantine.Fingerprint
 	upstream    port.Incarnation
 	started, at time.Time
 }
@@ -65,7 +65,7 @@
 	since := g.lastActivity.Add(-abandonedWindow)
 	g.mu.Unlock()
 	for _, a := range g.abandoned.take(upstream, since) {
-		g.tracker.Ended(time.Now(), a.fingerprint, upstream.String(), a.started)
+		g.tracker.Crashed(time.Now(), a.fingerprint, upstream.String(), a.started)
 	}
 }
 
--- a/gate/attempt.go
+++ b/gate/attempt.go
@@ -28,9 +28,9 @@
 }
 
 // fingerprint returns the request's fingerprint, which is the same for all of its attempts.
-func (ao *activeOffer) fingerprint() quarantine.Print {
+func (ao *activeOffer) fingerprint() quarantine.Fingerprint {
 	r := ao.offer.Content
-	return quarantine.PrintOf(r.Method, r.Host, r.Target, ao.offer.Account, r.Body)
+	return quarantine.FingerprintOf(r.Method, r.Host, r.Target, ao.offer.Account, r.Body)
 }
 
 // start runs an offer in the background. The caller holds the lock.
@@ -83,7 +83,7 @@
 		g.attributeCrash(upstream)
 		if frame.Failed != nil {
 			g.count("upstream_ended_under_attempt")
-			record := g.tracker.Ended(time.Now(), ao.fingerprint(), upstream.String(), started)
+			record := g.tracker.Crashed(time.Now(), ao.fingerprint(), upstream.String(), started)
 			frame.Failed.Record = &record
 		}
 	case outcome == NoEvidence && frame.Failed != nil:
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -70,7 +70,7 @@
 	ended        map[link.Key]endedAttempt
 	expiredUpTo  map[uint64]uint64 // By origin, the highest number of a non-retryable request whose result is no longer kept.
 	failures     []localFailure
-	tracker      *quarantine.Book
+	tracker      *quarantine.SharedTracker
 	abandoned    abandonedList
 	lastActivity time.Time // When the upstream last answered or reported.
 	switches     switches.Set
@@ -89,7 +89,7 @@
 
 // WithQuarantine sets the shared tracker of requests that crash upstreams; without it, the gate
 // tracks only crashes of its own upstream.
-func WithQuarantine(b *quarantine.Book) Option { return func(g *Gate) { g.tracker = b } }
+func WithQuarantine(t *quarantine.SharedTracker) Option { return func(g *Gate) { g.tracker = t } }
 
 // WithSwitches sets which mechanisms are on; without it, all are.
 func WithSwitches(s switches.Set) Option { return func(g *Gate) { g.switches = s } }
@@ -122,7 +122,7 @@
 		g.budget = budget.New(0, 0, time.Now())
 	}
 	if g.tracker == nil {
-		g.tracker = quarantine.NewBook(func([]quarantine.Command) {})
+		g.tracker = quarantine.NewSharedTracker(func([]quarantine.Command) {})
 	}
 	g.admission = NewAdmission(u.Service, g.budget)
 	g.admission.SetSwitches(g.switches)
--- a/gate/offer.go
+++ b/gate/offer.go
@@ -31,7 +31,7 @@
 		return // A duplicate; the first offer stays valid.
 	}
 	if o.Record != nil {
-		g.tracker.Heard(now, *o.Record)
+		g.tracker.Merge(now, *o.Record)
 	}
 	ao := &activeOffer{offer: o, sink: from, deadline: now.Add(o.Left), repeat: o.Claim != budget.First}
 	ao.target = g.admission.AimOf(now, ao.deadline, o.Aim)
@@ -97,7 +97,7 @@
 // refuseQuarantined refuses a quarantined request and reports whether it did. The gate checks
 // just before the start, as the ingress may not have the record yet.
 func (g *Gate) refuseQuarantined(now time.Time, ao *activeOffer) bool {
-	left := g.tracker.Held(now, ao.fingerprint)
+	left := g.tracker.Remaining(now, ao.fingerprint)
 	if left == 0 {
 		return false
 	}
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -46,7 +46,7 @@
 	parents   func(attempt string) (overload.Parent, bool) // Finds an attempt that runs on the upstream beside this node.
 	failed    func(arrived time.Time)                      // Called for each failed request.
 	limits    Limits
-	tracker   *quarantine.Book // Tracks requests that crash upstreams.
+	tracker   *quarantine.SharedTracker // Tracks requests that crash upstreams.
 	table     atomic.Pointer[route.Table]
 	origin    uint64 // Identifies this process's offers; differs after a restart.
 	number    atomic.Uint64
@@ -88,7 +88,7 @@
 		parents:   func(string) (overload.Parent, bool) { return overload.Parent{}, false },
 		failed:    func(time.Time) {},
 		limits:    noLimits{},
-		tracker:   quarantine.NewBook(func([]quarantine.Command) {}),
+		tracker:   quarantine.NewSharedTracker(func([]quarantine.Command) {}),
 		origin:    rand.Uint64(),
 		requests:  map[uint64]*inFlightRequest{},
 	}
--- a/ingress/quarantine.go
+++ b/ingress/quarantine.go
@@ -10,19 +10,19 @@
 
 // WithQuarantine sets the shared tracker of requests that crash upstreams. The default
 // tracks only this node's own requests.
-func WithQuarantine(b *quarantine.Book) Option {
-	return func(to *Forwarder) { to.tracker = b }
+func WithQuarantine(t *quarantine.SharedTracker) Option {
+	return func(to *Forwarder) { to.tracker = t }
 }
 
 // fingerprint identifies the request independently of its attempt ids.
-func (f *inFlightRequest) fingerprint() quarantine.Print {
-	return quarantine.PrintOf(f.content.Method, f.content.Host, f.content.Target, f.accountName(), f.content.Body)
+func (f *inFlightRequest) fingerprint() quarantine.Fingerprint {
+	return quarantine.FingerprintOf(f.content.Method, f.content.Host, f.content.Target, f.accountName(), f.content.Body)
 }
 
 // checkQuarantine refuses a quarantined request before it is offered or counted against a
 // limit.
 func (f *Forwarder) checkQuarantine(req *inFlightRequest) *Response {
-	left := f.tracker.Held(time.Now(), req.fingerprint)
+	left := f.tracker.Remaining(time.Now(), req.fingerprint)
 	if left == 0 {
 		return nil
 	}
@@ -43,8 +43,8 @@
 		return false
 	}
 	f.record = record
-	f.forwarder.tracker.Heard(now, *record)
-	f.quarantineLeft = f.forwarder.tracker.Held(now, f.fingerprint)
+	f.forwarder.tracker.Merge(now, *record)
+	f.quarantineLeft = f.forwarder.tracker.Remaining(now, f.fingerprint)
 	return f.quarantineLeft > 0
 }
 
--- a/mesh/account_test.go
+++ b/mesh/account_test.go
@@ -177,7 +177,7 @@
 	b.withAccounts(4, `{"name":"office","apiKeys":["key-of-office"],"ratePerS":0.01,"burstSize":10},{"name":"court","apiKeys":["key-of-court"]}`)
 	for _, n := range b.nodes {
 		n.limits.mu.Lock()
-		n.limits.home.Unsettle(time.Now().Add(-time.Hour))
+		n.limits.home.MarkUncertain(time.Now().Add(-time.Hour))
 		n.limits.seenChanges = n.links.changes.Load()
 		n.limits.mu.Unlock()
 	}
@@ -206,7 +206,7 @@
 	b.awaitReady()
 	b.withAccounts(4, `{"name":"office","apiKeys":["key-of-office"],"ratePerS":0.01,"burstSize":5}`)
 	one.limits.mu.Lock()
-	one.limits.home.Unsettle(time.Now().Add(-time.Hour))
+	one.limits.home.MarkUncertain(time.Now().Add(-time.Hour))
 	one.limits.seenChanges = one.links.changes.Load()
 	one.limits.mu.Unlock()
 	for i := range 8 {
--- a/mesh/limitpeers.go
+++ b/mesh/limitpeers.go
@@ -43,7 +43,7 @@
 func (l *limits) homeLinked(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.homes.Trust(address)
+	l.homes.ClearSuspicion(address)
 }
 
 // sendClaims notifies the nodes that may have acted as home in this node's place that this
@@ -84,17 +84,17 @@
 	defer l.mu.Unlock()
 	l.noteFleetChanges(now)
 	limit, ok := l.limit(m.Account)
-	place := l.homes.Of(m.Account, now)
-	if !ok || place.Home != l.node.self.Address && m.Hops >= maxHops {
+	location := l.homes.Of(m.Account, now)
+	if !ok || location.Home != l.node.self.Address && m.Hops >= maxHops {
 		from.Send(&link.Frame{LimitAnswer: &link.LimitAnswer{Number: m.Number, Unknown: true}})
 		return
 	}
-	if place.Home != l.node.self.Address {
+	if location.Home != l.node.self.Address {
 		l.charge([]link.LimitReport{{Account: m.Account, Count: m.Spent}})
 		go l.relay(from, m)
 		return
 	}
-	l.execute(l.home.Update(quota.Asked{At: now, From: l.dialers[from], Number: m.Number, Account: m.Account, Limit: limit, Spent: m.Spent, Acting: place.Acting}), now)
+	l.execute(l.home.Update(quota.TokenRequested{At: now, From: l.dialers[from], Number: m.Number, Account: m.Account, Limit: limit, Spent: m.Spent, Acting: location.Acting}), now)
 }
 
 // relay asks an account's home on behalf of another node.
@@ -125,10 +125,10 @@
 		if !ok || r.Count == 0 {
 			continue
 		}
-		if place := l.homes.Of(r.Account, now); place.Home == l.node.self.Address {
-			l.execute(l.home.Update(quota.Reported{At: now, Account: r.Account, Limit: limit, Count: r.Count, Acting: place.Acting}), now)
+		if location := l.homes.Of(r.Account, now); location.Home == l.node.self.Address {
+			l.execute(l.home.Update(quota.Reported{At: now, Account: r.Account, Limit: limit, Count: r.Count, Acting: location.Acting}), now)
 			continue
 		}
-		l.execute(l.limiter.Update(quota.Passed{At: now, Account: r.Account, Limit: limit, Count: r.Count}), now)
+		l.execute(l.limiter.Update(quota.Misdirected{At: now, Account: r.Account, Limit: limit, Count: r.Count}), now)
 	}
 }
--- a/mesh/limits.go
+++ b/mesh/limits.go
@@ -37,7 +37,7 @@
 	mu             sync.Mutex
 	homes          *quota.Homes
 	home           *quota.Home
-	limiter        *quota.Spender
+	limiter        *quota.Limiter
 	number         uint64
 	pending        map[uint64]pendingRequest
 	inbound        map[string]*link.Link // Links of nodes that dialed, by address.
@@ -48,15 +48,15 @@
 
 // pendingRequest is a request that waits for a home's answer.
 type pendingRequest struct {
-	answer chan ingress.Admission
-	place  quota.Place
-	hops   int // How many nodes have forwarded the request.
+	answer   chan ingress.Admission
+	location quota.Location
+	hops     int // How many nodes have forwarded the request.
 }
 
 func newLimits(n *Node, b quota.Bounds) *limits {
 	home := quota.NewHome(b)
-	home.Unsettle(time.Now())
-	return &limits{node: n, home: home, limiter: quota.NewSpender(b, rand.Float64),
+	home.MarkUncertain(time.Now())
+	return &limits{node: n, home: home, limiter: quota.NewLimiter(b, rand.Float64),
 		pending: map[uint64]pendingRequest{}, inbound: map[string]*link.Link{}, dialers: map[*link.Link]string{}}
 }
 
@@ -93,7 +93,7 @@
 	l.limiter.SetNodes(nodes)
 	l.noteFleetChanges(now)
 	l.handBack(now)
-	if l.home.Short(now) {
+	if l.home.Low(now) {
 		count = nodes
 	}
 	idle := l.home.Idle()
@@ -110,9 +110,9 @@
 // handBack returns accounts to their homes when these are reachable again. The lock must be
 // held.
 func (l *limits) handBack(now time.Time) {
-	for _, account := range l.home.StoodIn() {
-		if via, ok := l.homes.Back(account, now); ok {
-			l.execute(l.home.Update(quota.Resigned{At: now, Account: account, To: via}), now)
+	for _, account := range l.home.ActingFor() {
+		if via, ok := l.homes.HandoverVia(account, now); ok {
+			l.execute(l.home.Update(quota.HomeReturned{At: now, Account: account, To: via}), now)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 func (l *limits) noteFleetChanges(now time.Time) {
 	if at := l.node.links.changes.Load(); at != l.seenChanges {
 		l.seenChanges = at
-		l.home.Unsettle(now)
+		l.home.MarkUncertain(now)
 	}
 }
 
@@ -134,18 +134,18 @@
 		case quota.Admit:
 			l.resolve(c.Number, ingress.Admission{Granted: true})
 		case quota.Refuse:
-			l.resolve(c.Number, ingress.Admission{After: c.After, Unconfirmed: c.Unconfirmed})
-		case quota.Ask:
+			l.resolve(c.Number, ingress.Admission{After: c.RetryAfter, Unconfirmed: c.Unconfirmed})
+		case quota.RequestToken:
 			l.ask(c, now)
 		case quota.Report:
 			reports[c.To] = append(reports[c.To], link.LimitReport{Account: c.Account, Count: c.Count})
-		case quota.Over:
+		case quota.OverLimit:
 			l.node.log.Info("account over its limit", zap.String("account", c.Account), zap.Float64("rate", c.Limit.Rate), zap.Float64("burst", c.Limit.Burst),
 				zap.Float64("left", c.Left), zap.Float64("holds", c.Depth), zap.Int("refused", c.Refused))
 		case quota.Claim:
 			l.sendClaims(c.Account, now)
 		case quota.Answer:
-			l.sendAnswer(c.To, &link.LimitAnswer{Number: c.Number, Granted: c.Granted, After: c.After}, now)
+			l.sendAnswer(c.To, &link.LimitAnswer{Number: c.Number, Granted: c.Granted, After: c.RetryAfter}, now)
 		}
 	}
 	for to, list := range reports {
@@ -167,11 +167,11 @@
 
 // ask sends a request to a home, which may be this node. A home without a link does not
 // answer.
-func (l *limits) ask(c quota.Ask, now time.Time) {
+func (l *limits) ask(c quota.RequestToken, now time.Time) {
 	if limit, ok := l.limit(c.Account); ok && c.To == l.node.self.Address {
 		l.noteFleetChanges(now)
-		acting := l.pending[c.Number].place.Acting
-		l.execute(l.home.Update(quota.Asked{At: now, From: c.To, Number: c.Number, Account: c.Account, Limit: limit, Spent: c.Spent, Acting: acting}), now)
+		acting := l.pending[c.Number].location.Acting
+		l.execute(l.home.Update(quota.TokenRequested{At: now, From: c.To, Number: c.Number, Account: c.Account, Limit: limit, Spent: c.Spent, Acting: acting}), now)
 		return
 	}
 	if to := l.node.links.linkTo(c.To); to != nil {
@@ -204,7 +204,7 @@
 
 // applyAnswer applies a home's answer to a request.
 func (l *limits) applyAnswer(m *link.LimitAnswer, now time.Time) {
-	l.execute(l.limiter.Update(quota.Answered{At: now, Number: m.Number, Granted: m.Granted, Unknown: m.Unknown, After: m.After}), now)
+	l.execute(l.limiter.Update(quota.Answered{At: now, Number: m.Number, Granted: m.Granted, Unknown: m.Unknown, RetryAfter: m.After}), now)
 }
 
 // flush reports returned tokens.
--- a/mesh/limittake.go
+++ b/mesh/limittake.go
@@ -57,8 +57,8 @@
 	defer l.mu.Unlock()
 	l.number++
 	answer := make(chan ingress.Admission, 1)
-	l.pending[l.number] = pendingRequest{answer: answer, place: at, hops: hops}
-	l.execute(l.limiter.Update(quota.Wanted{At: now, Number: l.number, Account: a.Name, Limit: limitOf(a), Home: at.Way}), now)
+	l.pending[l.number] = pendingRequest{answer: answer, location: at, hops: hops}
+	l.execute(l.limiter.Update(quota.TokenWanted{At: now, Number: l.number, Account: a.Name, Limit: limitOf(a), Home: at.Via}), now)
 	return l.number, answer
 }
 
@@ -69,13 +69,13 @@
 	w, ok := l.pending[number]
 	if ok {
 		l.node.metrics.Count("limit_unanswered")
-		l.homes.Unanswered(w.place, time.Now())
+		l.homes.Unanswered(w.location, time.Now())
 	}
 	l.mu.Unlock()
 	if !ok {
 		return number
 	}
-	var at quota.Place
+	var at quota.Location
 	if time.Now().Before(until) {
 		at = l.awaitHome(ctx, a.Name, until)
 	}
@@ -87,13 +87,13 @@
 	}
 	delete(l.pending, number)
 	l.number++
-	l.pending[l.number] = pendingRequest{answer: w.answer, place: at, hops: w.hops}
-	l.execute(l.limiter.Update(quota.Unanswered{At: now, Number: number, Next: l.number, Home: at.Way}), now)
+	l.pending[l.number] = pendingRequest{answer: w.answer, location: at, hops: w.hops}
+	l.execute(l.limiter.Update(quota.Unanswered{At: now, Number: number, Next: l.number, Home: at.Via}), now)
 	return l.number
 }
 
 // awaitHome waits until it is known how an account's home is reached.
-func (l *limits) awaitHome(ctx context.Context, account string, until time.Time) quota.Place {
+func (l *limits) awaitHome(ctx context.Context, account string, until time.Time) quota.Location {
 	for {
 		now := time.Now()
 		l.mu.Lock()
@@ -103,7 +103,7 @@
 			return at
 		}
 		if !now.Before(until) || ctx.Err() != nil {
-			return quota.Place{}
+			return quota.Location{}
 		}
 		time.Sleep(limitPoll)
 	}
--- a/mesh/quarantine.go
+++ b/mesh/quarantine.go
@@ -24,22 +24,22 @@
 // processes of a fleet are killed.
 type quarantineSync struct {
 	node      *Node
-	tracker   *quarantine.Book
+	tracker   *quarantine.SharedTracker
 	mu        sync.Mutex
 	broadcast []quarantine.Record // To be sent to all linked nodes.
 	gossip    []quarantine.Record // To be sent to some random nodes.
 	writes    []func(ctx context.Context) error
-	stored    map[quarantine.Print]bool // Quarantined requests seen in the store.
-	era       uint64                    // Era of the store at that read.
-	sendDue   chan struct{}             // Signals records to send.
-	writeDue  chan struct{}             // Signals queued writes.
+	stored    map[quarantine.Fingerprint]bool // Quarantined requests seen in the store.
+	era       uint64                          // Era of the store at that read.
+	sendDue   chan struct{}                   // Signals records to send.
+	writeDue  chan struct{}                   // Signals queued writes.
 	// restored signals that the store may have lost records.
 	restored chan struct{}
 }
 
 func newQuarantineSync(n *Node) *quarantineSync {
-	q := &quarantineSync{node: n, stored: map[quarantine.Print]bool{}, sendDue: make(chan struct{}, 1), writeDue: make(chan struct{}, 1), restored: make(chan struct{}, 1)}
-	q.tracker = quarantine.NewBook(q.execute)
+	q := &quarantineSync{node: n, stored: map[quarantine.Fingerprint]bool{}, sendDue: make(chan struct{}, 1), writeDue: make(chan struct{}, 1), restored: make(chan struct{}, 1)}
+	q.tracker = quarantine.NewSharedTracker(q.execute)
 	return q
 }
 
@@ -49,12 +49,12 @@
 	defer q.mu.Unlock()
 	for _, c := range commands {
 		switch c := c.(type) {
-		case quarantine.Tell:
+		case quarantine.Broadcast:
 			q.broadcast = append(q.broadcast, c.Record)
-		case quarantine.Pass:
+		case quarantine.Relay:
 			q.gossip = append(q.gossip, c.Record)
-		case quarantine.Hold:
-			q.hold(c)
+		case quarantine.Quarantined:
+			q.handleQuarantined(c)
 		case quarantine.Release:
 			q.release(c)
 		}
@@ -76,24 +76,24 @@
 	wake(q.writeDue)
 }
 
-// hold logs that a request is quarantined, and queues its record for the store if it
+// handleQuarantined logs that a request is quarantined, and queues its record for the store if it
 // crashed the local upstream.
-func (q *quarantineSync) hold(c quarantine.Hold) {
-	q.node.log.Warn("request held", zap.Stringer("request", c.Record.Print), zap.Strings("ended", c.Record.Ended),
-		zap.Uint32("holds", c.Record.Holds), zap.Duration("hold", c.Record.Hold), zap.Bool("own", c.Own))
+func (q *quarantineSync) handleQuarantined(c quarantine.Quarantined) {
+	q.node.log.Warn("request held", zap.Stringer("request", c.Record.Fingerprint), zap.Strings("ended", c.Record.Crashed),
+		zap.Uint32("holds", c.Record.Quarantines), zap.Duration("hold", c.Record.Remaining), zap.Bool("own", c.Own))
 	if c.Own {
 		record := newStoredRecord(c.Record, time.Now())
-		q.enqueue(func(ctx context.Context) error { return q.put(ctx, c.Record.Print, record) })
+		q.enqueue(func(ctx context.Context) error { return q.put(ctx, c.Record.Fingerprint, record) })
 	}
 }
 
 // release logs that a request is no longer quarantined, and queues the removal of its
 // record if this node found out.
 func (q *quarantineSync) release(c quarantine.Release) {
-	q.node.log.Info("request released", zap.Stringer("request", c.Print), zap.String("cause", c.Cause))
-	delete(q.stored, c.Print)
+	q.node.log.Info("request released", zap.Stringer("request", c.Fingerprint), zap.String("cause", c.Cause))
+	delete(q.stored, c.Fingerprint)
 	if c.Own {
-		q.enqueue(func(ctx context.Context) error { return q.remove(ctx, c.Print) })
+		q.enqueue(func(ctx context.Context) error { return q.remove(ctx, c.Fingerprint) })
 	}
 }
 
@@ -137,12 +137,12 @@
 
 // sendSignificant sends the records that every node needs over a new link.
 func (q *quarantineSync) sendSignificant(to *link.Link) {
-	if records := q.tracker.Grave(time.Now()); len(records) > 0 {
+	if records := q.tracker.Significant(time.Now()); len(records) > 0 {
 		to.Send(&link.Frame{Quarantine: records})
 	}
 }
 
 // receive applies records from another node.
 func (q *quarantineSync) receive(records []quarantine.Record) {
-	q.tracker.Heard(time.Now(), records...)
+	q.tracker.Merge(time.Now(), records...)
 }
--- a/mesh/quarantine_test.go
+++ b/mesh/quarantine_test.go
@@ -112,7 +112,7 @@
 // quarantinedOnAll reports whether all nodes have quarantined the request.
 func (e *crashingRequest) quarantinedOnAll() bool {
 	for _, n := range e.cluster.nodes {
-		if n.quarantine.tracker.Held(time.Now(), e.fingerprint) == 0 {
+		if n.quarantine.tracker.Remaining(time.Now(), e.fingerprint) == 0 {
 			return false
 		}
 	}
@@ -120,8 +120,8 @@
 }
 
 // fingerprint returns the request's fingerprint.
-func (e *crashingRequest) fingerprint() quarantine.Print {
-	return quarantine.PrintOf(e.method, "office.example", e.path, "", []byte("text"))
+func (e *crashingRequest) fingerprint() quarantine.Fingerprint {
+	return quarantine.FingerprintOf(e.method, "office.example", e.path, "", []byte("text"))
 }
 
 // newQuarantinedCluster returns a cluster whose nodes have all quarantined a request.
@@ -178,7 +178,7 @@
 	require.NoError(t, b.nodes[0].quarantine.readStore(context.Background()))
 	require.Eventually(t, func() bool {
 		for _, n := range b.nodes {
-			if n.quarantine.tracker.Held(time.Now(), e.fingerprint) > 0 {
+			if n.quarantine.tracker.Remaining(time.Now(), e.fingerprint) > 0 {
 				return false
 			}
 		}
@@ -238,7 +238,7 @@
 	b.awaitReady()
 	e := &crashingRequest{cluster: b, method: http.MethodGet, path: "/look/often"}
 	for i, n := range b.nodes {
-		assert.Zero(t, n.quarantine.tracker.Held(time.Now(), e.fingerprint))
+		assert.Zero(t, n.quarantine.tracker.Remaining(time.Now(), e.fingerprint))
 		assert.Equal(t, http.StatusOK, n.status(http.MethodGet, "/look/often", fmt.Sprintf("again-%d", i)))
 	}
 }
@@ -272,7 +272,7 @@
 		require.NoError(t, <-ended)
 		_, err := n.sendReport(1, false)
 		require.NoError(t, err)
-		assert.Len(t, n.quarantine.tracker.Ends(e.fingerprint()), i+1)
+		assert.Len(t, n.quarantine.tracker.Crashes(e.fingerprint()), i+1)
 		b.awaitReady()
 	}
 	require.Eventually(t, e.quarantinedOnAll, waitTimeout, time.Millisecond)
--- a/mesh/quarantinestore.go
+++ b/mesh/quarantinestore.go
@@ -68,21 +68,21 @@
 }
 
 func newStoredRecord(r quarantine.Record, now time.Time) storedRecord {
-	return storedRecord{Ended: r.Ended, Cleared: r.Cleared, Holds: r.Holds, HeldUntil: now.Add(r.Hold).UTC(), Expires: now.Add(r.Left).UTC()}
+	return storedRecord{Ended: r.Crashed, Cleared: r.Cleared, Holds: r.Quarantines, HeldUntil: now.Add(r.Remaining).UTC(), Expires: now.Add(r.TTL).UTC()}
 }
 
 // put writes a quarantined request to the store.
-func (q *quarantineSync) put(ctx context.Context, p quarantine.Print, r storedRecord) error {
+func (q *quarantineSync) put(ctx context.Context, f quarantine.Fingerprint, r storedRecord) error {
 	value, err := json.Marshal(r)
 	if err != nil {
 		return errors.Wrap(err, "quarantine record")
 	}
-	return q.node.platform.Store.Put(ctx, quarantinePrefix+p.String(), value)
+	return q.node.platform.Store.Put(ctx, quarantinePrefix+f.String(), value)
 }
 
 // remove removes a request that is no longer quarantined from the store.
-func (q *quarantineSync) remove(ctx context.Context, p quarantine.Print) error {
-	return q.node.platform.Store.Remove(ctx, quarantinePrefix+p.String())
+func (q *quarantineSync) remove(ctx context.Context, f quarantine.Fingerprint) error {
+	return q.node.platform.Store.Remove(ctx, quarantinePrefix+f.String())
 }
 
 // poll reads the store periodically until ctx ends, if this node is one of the watchers,
@@ -117,61 +117,61 @@
 // is now missing was removed by an operator, who wants the request served again; but if the
 // store was restored from a copy meanwhile, the record is written again.
 func (q *quarantineSync) applyEntries(entries []port.Entry, era uint64, now time.Time) {
-	present := map[quarantine.Print]bool{}
+	present := map[quarantine.Fingerprint]bool{}
 	for _, entry := range entries {
 		r, err := parseStored(entry, now)
 		if err != nil {
 			q.node.log.Warn("cannot decode quarantine record", zap.String("key", entry.Key), zap.Error(err))
 			continue
 		}
-		present[r.Print] = true
-		q.tracker.Heard(now, r)
-		if r.Left <= 0 && q.node.links.position().before < removers {
-			q.enqueueRemoval(r.Print)
+		present[r.Fingerprint] = true
+		q.tracker.Merge(now, r)
+		if r.TTL <= 0 && q.node.links.position().before < removers {
+			q.enqueueRemoval(r.Fingerprint)
 		}
 	}
 	missing, restored := q.updateStored(present, era)
-	for _, p := range missing {
+	for _, f := range missing {
 		if restored {
-			q.restore(p)
+			q.restore(f)
 			continue
 		}
-		q.tracker.Lift(now, p)
+		q.tracker.Lift(now, f)
 	}
 }
 
 // restore writes a quarantined request again that the store has lost.
-func (q *quarantineSync) restore(p quarantine.Print) {
+func (q *quarantineSync) restore(f quarantine.Fingerprint) {
 	now := time.Now()
-	for _, r := range q.tracker.Grave(now) {
-		if r.Print != p || r.Hold <= 0 {
+	for _, r := range q.tracker.Significant(now) {
+		if r.Fingerprint != f || r.Remaining <= 0 {
 			continue
 		}
 		record := newStoredRecord(r, now)
 		q.mu.Lock()
-		q.stored[p] = true
-		q.enqueue(func(ctx context.Context) error { return q.put(ctx, p, record) })
+		q.stored[f] = true
+		q.enqueue(func(ctx context.Context) error { return q.put(ctx, f, record) })
 		q.mu.Unlock()
 	}
 }
 
 // enqueueRemoval queues the removal of an expired record.
-func (q *quarantineSync) enqueueRemoval(p quarantine.Print) {
+func (q *quarantineSync) enqueueRemoval(f quarantine.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.enqueue(func(ctx context.Context) error { return q.remove(ctx, p) })
+	q.enqueue(func(ctx context.Context) error { return q.remove(ctx, f) })
 }
 
 // updateStored replaces the set of stored fingerprints. It returns those that are no longer
 // stored, and whether the store was restored since the last read.
-func (q *quarantineSync) updateStored(present map[quarantine.Print]bool, era uint64) (missing []quarantine.Print, restored bool) {
+func (q *quarantineSync) updateStored(present map[quarantine.Fingerprint]bool, era uint64) (missing []quarantine.Fingerprint, restored bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	restored = era != q.era
 	q.era = era
-	for p := range q.stored {
-		if !present[p] {
-			missing = append(missing, p)
+	for f := range q.stored {
+		if !present[f] {
+			missing = append(missing, f)
 		}
 	}
 	q.stored = present
@@ -180,7 +180,7 @@
 
 // parseStored parses a stored record.
 func parseStored(entry port.Entry, now time.Time) (quarantine.Record, error) {
-	p, ok := quarantine.ParsePrint(strings.TrimPrefix(entry.Key, quarantinePrefix))
+	f, ok := quarantine.ParseFingerprint(strings.TrimPrefix(entry.Key, quarantinePrefix))
 	if !ok {
 		return quarantine.Record{}, errors.New("the key holds no fingerprint")
 	}
@@ -188,6 +188,6 @@
 	if err := json.Unmarshal(entry.Value, &h); err != nil {
 		return quarantine.Record{}, errors.Wrap(err, "quarantine record")
 	}
-	return quarantine.Record{Print: p, Ended: h.Ended, Repeated: true, Cleared: h.Cleared, Left: h.Expires.Sub(now),
-		Holds: h.Holds, Hold: h.HeldUntil.Sub(now)}, nil
+	return quarantine.Record{Fingerprint: f, Crashed: h.Ended, Repeated: true, Cleared: h.Cleared, TTL: h.Expires.Sub(now),
+		Quarantines: h.Holds, Remaining: h.HeldUntil.Sub(now)}, nil
 }
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -2,7 +2,7 @@
 // away from upstreams. It has no connections, no clock and no store: a node passes it what
 // its gate and other nodes observe, and carries out the commands that it returns.
 //
-// A request is identified by the fingerprint of its content (Print), independent of the ids
+// A request is identified by the Fingerprint of its content, independent of the ids
 // of its attempts: a crash has to be associated with the next attempt, at any gate and from
 // any node.
 //
@@ -30,10 +30,10 @@
 //
 // # Usage
 //
-//	book := quarantine.NewBook(func(commands []quarantine.Command) { /* send, store, log */ })
-//	print := quarantine.PrintOf("GET", "office.example", "/births/7", "office-07", nil)
-//	record := book.Ended(time.Now(), print, "i-7f3a", began)  // An upstream crashed while running it.
-//	if left := book.Held(time.Now(), func() quarantine.Print { return print }); left > 0 {
+//	tracker := quarantine.NewSharedTracker(func(commands []quarantine.Command) { /* send, store, log */ })
+//	fingerprint := quarantine.FingerprintOf("GET", "office.example", "/births/7", "office-07", nil)
+//	record := tracker.Crashed(time.Now(), fingerprint, "i-7f3a", began) // An upstream crashed.
+//	if left := tracker.Remaining(time.Now(), func() quarantine.Fingerprint { return fingerprint }); left > 0 {
 //		// Refuse it, with left as its retry-after.
 //	}
 package quarantine
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -6,27 +6,27 @@
 	"encoding/hex"
 )
 
-// Print is the fingerprint of a request's content. It is the same for every attempt and every
+// Fingerprint identifies a request's content. It is the same for every attempt and every
 // sender. Sixteen bytes of a digest make it infeasible to find two requests with the same one.
-type Print [16]byte
+type Fingerprint [16]byte
 
 // String returns the fingerprint in hexadecimal, for logs and keys.
-func (p Print) String() string { return hex.EncodeToString(p[:]) }
+func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParsePrint parses the result of String.
-func ParsePrint(text string) (Print, bool) {
-	var p Print
+// ParseFingerprint parses the result of String.
+func ParseFingerprint(text string) (Fingerprint, bool) {
+	var f Fingerprint
 	raw, err := hex.DecodeString(text)
-	if err != nil || len(raw) != len(p) {
-		return p, false
+	if err != nil || len(raw) != len(f) {
+		return f, false
 	}
-	copy(p[:], raw)
-	return p, true
+	copy(f[:], raw)
+	return f, true
 }
 
-// PrintOf returns the fingerprint of a request. The account is the client account of the
+// FingerprintOf returns the fingerprint of a request. The account is the client account of the
 // request, "" if there is none. Headers are left out, as they differ between attempts.
-func PrintOf(method, host, target, account string, body []byte) Print {
+func FingerprintOf(method, host, target, account string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(host), []byte(target), []byte(account), body} {
 		var length [8]byte
@@ -34,7 +34,7 @@
 		h.Write(length[:]) // Writing to a hash never fails.
 		h.Write(part)
 	}
-	var p Print
-	copy(p[:], h.Sum(nil))
-	return p
+	var f Fingerprint
+	copy(f[:], h.Sum(nil))
+	return f
 }
--- a/quarantine/message.go
+++ b/quarantine/message.go
@@ -9,15 +9,15 @@
 type (
 	// Crashed reports that an upstream crashed while running an attempt.
 	Crashed struct {
-		At       time.Time
-		Print    Print
-		Upstream string    // The upstream's incarnation.
-		Began    time.Time // Start time of the attempt.
+		At          time.Time
+		Fingerprint Fingerprint
+		Upstream    string    // The upstream's incarnation.
+		Began       time.Time // Start time of the attempt.
 	}
 	// Answered reports that an upstream gave a good answer.
 	Answered struct {
-		At    time.Time
-		Print Print
+		At          time.Time
+		Fingerprint Fingerprint
 	}
 	// Received carries records from another node or the store.
 	Received struct {
@@ -26,8 +26,8 @@
 	}
 	// Lifted reports that an operator ended the quarantine of a request.
 	Lifted struct {
-		At    time.Time
-		Print Print
+		At          time.Time
+		Fingerprint Fingerprint
 	}
 	// Ticked reports the current time.
 	Ticked struct{ At time.Time }
@@ -44,26 +44,26 @@
 
 // Commands of a Tracker.
 type (
-	// Tell sends a record to all linked nodes.
-	Tell struct{ Record Record }
-	// Pass forwards a record received from another node to some nodes.
-	Pass struct{ Record Record }
-	// Hold reports that a request is quarantined from now on. Its record is kept in the store by
-	// the nodes whose own upstreams crashed while running it.
-	Hold struct {
+	// Broadcast sends a record to all linked nodes.
+	Broadcast struct{ Record Record }
+	// Relay forwards a record received from another node to some nodes.
+	Relay struct{ Record Record }
+	// Quarantined reports that a request is quarantined from now on. Its record is kept in the
+	// store by the nodes whose own upstreams crashed while running it.
+	Quarantined struct {
 		Record Record
 		Own    bool
 	}
 	// Release reports that a request is no longer quarantined. With Own set, this node removes the
 	// record from the store.
 	Release struct {
-		Print Print
-		Own   bool
-		Cause string
+		Fingerprint Fingerprint
+		Own         bool
+		Cause       string
 	}
 )
 
-func (Tell) command()    {}
-func (Pass) command()    {}
-func (Hold) command()    {}
-func (Release) command() {}
+func (Broadcast) command()   {}
+func (Relay) command()       {}
+func (Quarantined) command() {}
+func (Release) command()     {}
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -26,21 +26,21 @@
 
 // Record describes a request during which upstreams crashed, as nodes exchange it.
 type Record struct {
-	Print    Print         `cbor:"1,keyasint"`
-	Ended    []string      `cbor:"2,keyasint,omitempty"` // Incarnations that crashed while running it, up to minCrashes.
-	Repeated bool          `cbor:"3,keyasint,omitempty"` // At least one of them ran an attempt that began after another crash was known.
-	Cleared  uint32        `cbor:"4,keyasint,omitempty"` // How often it was cleared.
-	Left     time.Duration `cbor:"5,keyasint"`           // Remaining lifetime of the record.
-	Holds    uint32        `cbor:"6,keyasint,omitempty"` // How often it has been quarantined.
-	Hold     time.Duration `cbor:"7,keyasint,omitempty"` // Remaining time of its quarantine.
+	Fingerprint Fingerprint   `cbor:"1,keyasint"`
+	Crashed     []string      `cbor:"2,keyasint,omitempty"` // Incarnations that crashed while running it, up to minCrashes.
+	Repeated    bool          `cbor:"3,keyasint,omitempty"` // At least one of them ran an attempt that began after another crash was known.
+	Cleared     uint32        `cbor:"4,keyasint,omitempty"` // How often it was cleared.
+	TTL         time.Duration `cbor:"5,keyasint"`           // Remaining lifetime of the record.
+	Quarantines uint32        `cbor:"6,keyasint,omitempty"` // How often it has been quarantined.
+	Remaining   time.Duration `cbor:"7,keyasint,omitempty"` // Remaining time of its quarantine.
 }
 
 // responsible reports whether the crashes are to be attributed to the request itself.
-func (r Record) responsible() bool { return len(r.Ended) >= minCrashes && r.Repeated }
+func (r Record) responsible() bool { return len(r.Crashed) >= minCrashes && r.Repeated }
 
 // significant reports whether the record is worth sending to all nodes: a single crash is
 // usually unrelated to the request.
-func (r Record) significant() bool { return len(r.Ended) > 1 || r.Cleared > 0 }
+func (r Record) significant() bool { return len(r.Crashed) > 1 || r.Cleared > 0 }
 
 // quarantinePeriod returns the duration of the nth quarantine of a request.
 func quarantinePeriod(n uint32) time.Duration {
@@ -52,7 +52,7 @@
 }
 
 // merged returns the combination of two records of a fingerprint, and whether it contains more
-// than r. The caller updates Left and Hold.
+// than r. The caller updates TTL and Remaining.
 func (r Record) merged(o Record) (Record, bool) {
 	if o.Cleared != r.Cleared {
 		if o.Cleared < r.Cleared {
@@ -62,12 +62,12 @@
 	}
 	out := r
 	out.Repeated = r.Repeated || o.Repeated
-	out.Holds = max(r.Holds, o.Holds)
-	out.Ended = slices.Clone(r.Ended)
-	for _, upstream := range o.Ended {
-		if len(out.Ended) < minCrashes && !slices.Contains(out.Ended, upstream) {
-			out.Ended = append(out.Ended, upstream)
+	out.Quarantines = max(r.Quarantines, o.Quarantines)
+	out.Crashed = slices.Clone(r.Crashed)
+	for _, upstream := range o.Crashed {
+		if len(out.Crashed) < minCrashes && !slices.Contains(out.Crashed, upstream) {
+			out.Crashed = append(out.Crashed, upstream)
 		}
 	}
-	return out, out.Repeated != r.Repeated || out.Holds > r.Holds || len(out.Ended) > len(r.Ended)
+	return out, out.Repeated != r.Repeated || out.Quarantines > r.Quarantines || len(out.Crashed) > len(r.Crashed)
 }
--- a/quarantine/script_test.go
+++ b/quarantine/script_test.go
@@ -37,33 +37,33 @@
 
 var scriptStart = time.Unix(1000, 0)
 
-func fingerprint(name string) (p Print) {
-	copy(p[:], name)
-	return p
+func fingerprint(name string) (f Fingerprint) {
+	copy(f[:], name)
+	return f
 }
 
-func nameOf(p Print) string { return string(p[:1]) }
+func nameOf(f Fingerprint) string { return string(f[:1]) }
 
 func formatAll(commands []Command) (out []string) {
 	for _, c := range commands {
 		switch c := c.(type) {
-		case Tell:
+		case Broadcast:
 			out = append(out, "tell "+describe(c.Record))
-		case Pass:
+		case Relay:
 			out = append(out, "pass "+describe(c.Record))
-		case Hold:
-			out = append(out, fmt.Sprintf("hold %s own=%t", nameOf(c.Record.Print), c.Own))
+		case Quarantined:
+			out = append(out, fmt.Sprintf("hold %s own=%t", nameOf(c.Record.Fingerprint), c.Own))
 		case Release:
-			out = append(out, fmt.Sprintf("release %s own=%t: %s", nameOf(c.Print), c.Own, c.Cause))
+			out = append(out, fmt.Sprintf("release %s own=%t: %s", nameOf(c.Fingerprint), c.Own, c.Cause))
 		}
 	}
 	return out
 }
 
 func describe(r Record) string {
-	text := fmt.Sprintf("%s %v repeated=%t cleared=%d left=%s", nameOf(r.Print), r.Ended, r.Repeated, r.Cleared, r.Left)
-	if r.Holds > 0 {
-		text += fmt.Sprintf(" holds=%d hold=%s", r.Holds, r.Hold)
+	text := fmt.Sprintf("%s %v repeated=%t cleared=%d left=%s", nameOf(r.Fingerprint), r.Crashed, r.Repeated, r.Cleared, r.TTL)
+	if r.Quarantines > 0 {
+		text += fmt.Sprintf(" holds=%d hold=%s", r.Quarantines, r.Remaining)
 	}
 	return text
 }
@@ -81,14 +81,14 @@
 				var m Message
 				switch {
 				case step.Ended != "":
-					m = Crashed{At: at, Print: fingerprint(step.Ended), Upstream: step.Upstream, Began: scriptStart.Add(step.Began)}
+					m = Crashed{At: at, Fingerprint: fingerprint(step.Ended), Upstream: step.Upstream, Began: scriptStart.Add(step.Began)}
 				case step.Answered != "":
-					m = Answered{At: at, Print: fingerprint(step.Answered)}
+					m = Answered{At: at, Fingerprint: fingerprint(step.Answered)}
 				case step.Lifted != "":
-					m = Lifted{At: at, Print: fingerprint(step.Lifted)}
+					m = Lifted{At: at, Fingerprint: fingerprint(step.Lifted)}
 				case step.Heard != nil:
 					h := step.Heard
-					m = Received{At: at, Records: []Record{{Print: fingerprint(h.Request), Ended: h.Ended, Repeated: h.Repeated, Cleared: h.Cleared, Left: h.Left, Holds: h.Holds, Hold: h.Hold}}}
+					m = Received{At: at, Records: []Record{{Fingerprint: fingerprint(h.Request), Crashed: h.Ended, Repeated: h.Repeated, Cleared: h.Cleared, TTL: h.Left, Quarantines: h.Holds, Remaining: h.Hold}}}
 				default:
 					m = Ticked{At: at}
 				}
@@ -102,11 +102,11 @@
 // orders and quarantine different requests.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	records := []Record{
-		{Ended: []string{"a"}, Left: time.Hour},
-		{Ended: []string{"b", "c"}, Left: time.Hour},
-		{Ended: []string{"d"}, Repeated: true, Left: time.Hour},
-		{Cleared: 1, Left: time.Hour},
-		{Ended: []string{"e"}, Cleared: 1, Left: time.Hour},
+		{Crashed: []string{"a"}, TTL: time.Hour},
+		{Crashed: []string{"b", "c"}, TTL: time.Hour},
+		{Crashed: []string{"d"}, Repeated: true, TTL: time.Hour},
+		{Cleared: 1, TTL: time.Hour},
+		{Crashed: []string{"e"}, Cleared: 1, TTL: time.Hour},
 	}
 	var orders [][]int
 	permute(nil, []int{0, 1, 2, 3, 4}, &orders)
@@ -116,7 +116,7 @@
 			for _, i := range order {
 				if i < len(chosen) {
 					record := records[chosen[i]]
-					record.Print = fingerprint("p")
+					record.Fingerprint = fingerprint("p")
 					tracker.Update(Received{At: scriptStart, Records: []Record{record}})
 				}
 			}
@@ -125,7 +125,7 @@
 				assert.True(t, e.quarantined, "order %v", order)
 				continue
 			}
-			assert.Equal(t, []string{"e"}, e.Ended, "order %v", order)
+			assert.Equal(t, []string{"e"}, e.Crashed, "order %v", order)
 			assert.False(t, e.quarantined, "order %v", order)
 		}
 	}
@@ -146,9 +146,9 @@
 // which more than one upstream crashed are kept.
 func TestTrackerIsBounded(t *testing.T) {
 	tracker := NewTracker()
-	tracker.Update(Received{At: scriptStart, Records: []Record{{Print: fingerprint("held"), Ended: []string{"a", "b", "c"}, Repeated: true, Left: time.Hour}}})
+	tracker.Update(Received{At: scriptStart, Records: []Record{{Fingerprint: fingerprint("held"), Crashed: []string{"a", "b", "c"}, Repeated: true, TTL: time.Hour}}})
 	for i := range 2 * maxRecords {
-		tracker.Update(Crashed{At: scriptStart, Print: PrintOf("GET", "office.example", fmt.Sprint(i), "", nil), Upstream: "u", Began: scriptStart})
+		tracker.Update(Crashed{At: scriptStart, Fingerprint: FingerprintOf("GET", "office.example", fmt.Sprint(i), "", nil), Upstream: "u", Began: scriptStart})
 	}
 	assert.Len(t, tracker.entries, maxRecords)
 	assert.Len(t, tracker.quarantined(), 1)
@@ -157,20 +157,20 @@
 // TestFingerprintsDiffer changes each part of a request: no two requests may have the same
 // fingerprint, even if the concatenation of their parts is equal.
 func TestFingerprintsDiffer(t *testing.T) {
-	seen := map[Print]bool{}
-	for _, p := range []Print{
-		PrintOf("GET", "h", "/a", "", nil), PrintOf("POST", "h", "/a", "", nil), PrintOf("GET", "h2", "/a", "", nil),
-		PrintOf("GET", "h", "/a?b=1", "", nil), PrintOf("GET", "h", "/a", "x", nil), PrintOf("GET", "h", "/a", "", []byte("x")),
-		PrintOf("GET", "h/", "a", "", nil),
+	seen := map[Fingerprint]bool{}
+	for _, f := range []Fingerprint{
+		FingerprintOf("GET", "h", "/a", "", nil), FingerprintOf("POST", "h", "/a", "", nil), FingerprintOf("GET", "h2", "/a", "", nil),
+		FingerprintOf("GET", "h", "/a?b=1", "", nil), FingerprintOf("GET", "h", "/a", "x", nil), FingerprintOf("GET", "h", "/a", "", []byte("x")),
+		FingerprintOf("GET", "h/", "a", "", nil),
 	} {
-		assert.False(t, seen[p])
-		seen[p] = true
-		again, ok := ParsePrint(p.String())
+		assert.False(t, seen[f])
+		seen[f] = true
+		again, ok := ParseFingerprint(f.String())
 		assert.True(t, ok)
-		assert.Equal(t, p, again)
+		assert.Equal(t, f, again)
 	}
 	for _, text := range []string{"", "zz", "00", "00112233445566778899aabbccddeeff00"} {
-		_, ok := ParsePrint(text)
+		_, ok := ParseFingerprint(text)
 		assert.False(t, ok, text)
 	}
 }
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -32,11 +32,11 @@
 // Tracker tracks the requests during which upstreams crashed. It is not safe for concurrent
 // use.
 type Tracker struct {
-	entries map[Print]*entry
+	entries map[Fingerprint]*entry
 }
 
 // NewTracker returns a tracker without records.
-func NewTracker() *Tracker { return &Tracker{entries: map[Print]*entry{}} }
+func NewTracker() *Tracker { return &Tracker{entries: map[Fingerprint]*entry{}} }
 
 // Update handles a message and returns the commands that follow from it.
 func (t *Tracker) Update(m Message) []Command {
@@ -44,9 +44,9 @@
 	case Crashed:
 		return t.crashed(m)
 	case Answered:
-		return t.clear(m.At, m.Print, causeAnswered)
+		return t.clear(m.At, m.Fingerprint, causeAnswered)
 	case Lifted:
-		return t.clear(m.At, m.Print, causeOperator)
+		return t.clear(m.At, m.Fingerprint, causeOperator)
 	case Received:
 		return t.received(m)
 	case Ticked:
@@ -59,45 +59,45 @@
 // crashed adds an upstream to those that crashed while running a request. If the request's
 // quarantine was over when the attempt began, it is quarantined again.
 func (t *Tracker) crashed(m Crashed) []Command {
-	e := t.entries[m.Print]
+	e := t.entries[m.Fingerprint]
 	if e == nil {
-		e = t.add(Record{Print: m.Print}, m.At)
+		e = t.add(Record{Fingerprint: m.Fingerprint}, m.At)
 	}
 	before := e.Record
-	known := len(before.Ended) > 0 && !e.firstCrash.After(m.Began)
-	if len(before.Ended) == 0 {
+	known := len(before.Crashed) > 0 && !e.firstCrash.After(m.Began)
+	if len(before.Crashed) == 0 {
 		e.firstCrash = m.At
 	}
-	after, isNew := before.merged(Record{Ended: []string{m.Upstream}, Repeated: known, Cleared: e.Cleared})
+	after, isNew := before.merged(Record{Crashed: []string{m.Upstream}, Repeated: known, Cleared: e.Cleared})
 	e.Record, e.own, e.expires = after, true, m.At.Add(recordLifetime)
-	if e.responsible() && (e.Holds == 0 || m.Began.After(e.quarantinedUntil)) {
-		e.Holds++
-		e.quarantinedUntil = m.At.Add(quarantinePeriod(e.Holds))
+	if e.responsible() && (e.Quarantines == 0 || m.Began.After(e.quarantinedUntil)) {
+		e.Quarantines++
+		e.quarantinedUntil = m.At.Add(quarantinePeriod(e.Quarantines))
 		e.quarantined = false // Each quarantine gets its own command.
 		isNew = true
 	}
 	if !isNew {
 		return nil
 	}
-	return append([]Command{Tell{Record: e.export(m.At)}}, e.transition(m.At, causeNode)...)
+	return append([]Command{Broadcast{Record: e.export(m.At)}}, e.transition(m.At, causeNode)...)
 }
 
 // clear discards the crashes recorded for a request.
-func (t *Tracker) clear(at time.Time, p Print, cause string) []Command {
-	e := t.entries[p]
-	if e == nil || len(e.Ended) == 0 {
+func (t *Tracker) clear(at time.Time, f Fingerprint, cause string) []Command {
+	e := t.entries[f]
+	if e == nil || len(e.Crashed) == 0 {
 		return nil
 	}
 	if !e.significant() {
-		delete(t.entries, p) // Other nodes have a single crash at most, which quarantines nothing.
+		delete(t.entries, f) // Other nodes have a single crash at most, which quarantines nothing.
 		return nil
 	}
-	stored := e.Holds > 0
-	e.Record = Record{Print: p, Cleared: e.Cleared + 1}
+	stored := e.Quarantines > 0
+	e.Record = Record{Fingerprint: f, Cleared: e.Cleared + 1}
 	e.quarantinedUntil, e.quarantined = time.Time{}, false
-	out := []Command{Tell{Record: e.export(at)}}
+	out := []Command{Broadcast{Record: e.export(at)}}
 	if stored {
-		out = append(out, Release{Print: p, Own: true, Cause: cause})
+		out = append(out, Release{Fingerprint: f, Own: true, Cause: cause})
 	}
 	return out
 }
@@ -113,13 +113,13 @@
 
 // merge merges one record, and passes it on if it is new and significant.
 func (t *Tracker) merge(at time.Time, record Record) []Command {
-	left := min(record.Left, recordLifetime)
+	left := min(record.TTL, recordLifetime)
 	if left <= 0 {
 		return nil
 	}
-	e := t.entries[record.Print]
+	e := t.entries[record.Fingerprint]
 	if e == nil {
-		e = t.add(Record{Print: record.Print}, at)
+		e = t.add(Record{Fingerprint: record.Fingerprint}, at)
 	}
 	before := e.Record
 	after, isNew := before.merged(record)
@@ -129,29 +129,29 @@
 	if !isNew {
 		return nil
 	}
-	if len(before.Ended) == 0 {
+	if len(before.Crashed) == 0 {
 		e.firstCrash = at
 	}
 	e.Record = after
-	e.mergeHold(at, before, record)
+	e.mergeQuarantine(at, before, record)
 	var out []Command
 	if after.significant() {
-		out = append(out, Pass{Record: e.export(at)})
+		out = append(out, Relay{Record: e.export(at)})
 	}
 	return append(out, e.transition(at, causeNode)...)
 }
 
-// mergeHold takes over a quarantine that another node reports, or starts one that follows from
-// both records together.
-func (e *entry) mergeHold(at time.Time, before, received Record) {
+// mergeQuarantine takes over a quarantine that another node reports, or starts one that
+// follows from both records together.
+func (e *entry) mergeQuarantine(at time.Time, before, received Record) {
 	switch {
-	case e.Cleared > before.Cleared && e.Holds == 0:
+	case e.Cleared > before.Cleared && e.Quarantines == 0:
 		e.quarantinedUntil = time.Time{}
-	case received.Holds > before.Holds || e.Cleared > before.Cleared:
-		e.quarantinedUntil = at.Add(min(received.Hold, quarantinePeriod(e.Holds)))
+	case received.Quarantines > before.Quarantines || e.Cleared > before.Cleared:
+		e.quarantinedUntil = at.Add(min(received.Remaining, quarantinePeriod(e.Quarantines)))
 		e.quarantined = false
-	case e.responsible() && e.Holds == 0:
-		e.Holds = 1
+	case e.responsible() && e.Quarantines == 0:
+		e.Quarantines = 1
 		e.quarantinedUntil = at.Add(quarantinePeriod(1))
 	}
 }
@@ -164,26 +164,26 @@
 	}
 	e.quarantined = quarantined
 	if quarantined {
-		return []Command{Hold{Record: e.export(at), Own: e.own}}
+		return []Command{Quarantined{Record: e.export(at), Own: e.own}}
 	}
-	return []Command{Release{Print: e.Print, Cause: cause}}
+	return []Command{Release{Fingerprint: e.Fingerprint, Cause: cause}}
 }
 
 // export returns the entry's record as sent to other nodes.
 func (e *entry) export(at time.Time) Record {
 	out := e.Record
-	out.Left = e.expires.Sub(at)
-	out.Hold = max(e.quarantinedUntil.Sub(at), 0)
+	out.TTL = e.expires.Sub(at)
+	out.Remaining = max(e.quarantinedUntil.Sub(at), 0)
 	return out
 }
 
 // tick ends quarantines and removes records whose time has passed.
 func (t *Tracker) tick(at time.Time) []Command {
 	var out []Command
-	for p, e := range t.entries {
+	for f, e := range t.entries {
 		out = append(out, e.transition(at, causeExpired)...)
 		if !at.Before(e.expires) {
-			delete(t.entries, p)
+			delete(t.entries, f)
 			out = append(out, e.removal()...)
 		}
 	}
@@ -192,10 +192,10 @@
 
 // removal returns the command that removes a record from the store, if this node stored it.
 func (e *entry) removal() []Command {
-	if e.Holds == 0 || !e.own {
+	if e.Quarantines == 0 || !e.own {
 		return nil
 	}
-	return []Command{Release{Print: e.Print, Own: true, Cause: causeExpired}}
+	return []Command{Release{Fingerprint: e.Fingerprint, Own: true, Cause: causeExpired}}
 }
 
 // add adds an entry, in place of the least relevant one if there are too many. The caller sets
@@ -205,15 +205,15 @@
 		delete(t.entries, t.leastRelevant())
 	}
 	e := &entry{Record: record, firstCrash: at}
-	t.entries[record.Print] = e
+	t.entries[record.Fingerprint] = e
 	return e
 }
 
 // leastRelevant returns the fingerprint of the record to remove first.
-func (t *Tracker) leastRelevant() Print {
+func (t *Tracker) leastRelevant() Fingerprint {
 	return slices.MinFunc(slices.Collect(maps.Values(t.entries)), func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(len(a.Ended), len(b.Ended)), a.expires.Compare(b.expires))
-	}).Print
+		return cmp.Or(cmp.Compare(len(a.Crashed), len(b.Crashed)), a.expires.Compare(b.expires))
+	}).Fingerprint
 }
 
 // Significant returns the records to send to a node on connecting to it for the first time:
@@ -229,11 +229,11 @@
 }
 
 // quarantined returns the end of the quarantine of each request that was ever quarantined.
-func (t *Tracker) quarantined() map[Print]time.Time {
-	out := map[Print]time.Time{}
-	for p, e := range t.entries {
-		if e.Holds > 0 {
-			out[p] = e.quarantinedUntil
+func (t *Tracker) quarantined() map[Fingerprint]time.Time {
+	out := map[Fingerprint]time.Time{}
+	for f, e := range t.entries {
+		if e.Quarantines > 0 {
+			out[f] = e.quarantinedUntil
 		}
 	}
 	return out
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,6 +1,6 @@
 // Package quota keeps client accounts within their request limits over a whole fleet of
 // nodes. It has no connections, no clock and no wire messages: a node passes its inputs to
-// Home, Homes and Spender, and carries out the commands that they return.
+// Home, Homes and Limiter, and carries out the commands that they return.
 //
 // The bound: over any window, the requests of an account that all nodes together admit are
 // at most rate x window + burst, plus a tolerance that the operators grant.
@@ -8,12 +8,12 @@
 // Mechanism: every account has a home among the nodes (Homes), the same for all nodes that
 // know the same fleet. The home holds the account's tokens (Home) in a bucket that fills at
 // the rate and holds the burst. A node that receives a request asks the home for a token
-// (Spender). A request that has not run returns its token.
+// (Limiter). A request that has not run returns its token.
 //
 // A home behind a network cut is asked through another node; if no node reaches it, the next
 // in rank acts as home. A home notifies its possible successors that it is reachable (Claim,
 // Homes.Successors), and an acting home reports to a returned home what it granted
-// (Resigned). A node that reaches no other uses half of its own share of the rate, which
+// (HomeReturned). A node that reaches no other uses half of its own share of the rate, which
 // homes leave to the nodes that they do not reach (Home.SetShare).
 //
 // The tolerance covers:
@@ -35,12 +35,12 @@
 //
 // # Usage
 //
-//	homes, spender := quota.NewHomes(fleet), quota.NewSpender(bounds, rand.Float64)
-//	place := homes.Of("office", now)
-//	for _, c := range spender.Update(quota.Wanted{At: now, Number: 1, Account: "office", Limit: limit, Home: place.Way}) {
+//	homes, limiter := quota.NewHomes(fleet), quota.NewLimiter(bounds, rand.Float64)
+//	location := homes.Of("office", now)
+//	for _, c := range limiter.Update(quota.TokenWanted{At: now, Number: 1, Account: "office", Limit: limit, Home: location.Via}) {
 //		switch c := c.(type) {
 //		case quota.Admit: // The request may run.
-//		case quota.Ask: // Send the node c.To a quota.Asked.
+//		case quota.RequestToken: // Send it to the node c.To, as quota.TokenRequested.
 //		}
 //	}
 package quota
--- a/quota/home.go
+++ b/quota/home.go
@@ -34,7 +34,7 @@
 	deficit   float64   // Tokens missing from a bucket that was full at first; reported on handover.
 	retryAt   time.Time // Latest retry time given to a refused request.
 	lastUsed  time.Time // Time of the last message about the account.
-	refused   int       // Requests refused since the last Over command.
+	refused   int       // Requests refused since the last OverLimit command.
 	lastOver  time.Time
 	lastClaim time.Time // Time of the last claim to the successors.
 }
@@ -69,7 +69,7 @@
 	share          float64 // Fraction of the fleet that this node reaches.
 	accounts       map[string]*accountBucket
 	lastSweep      time.Time
-	lowUntil       time.Time // Time until which Short reports true.
+	lowUntil       time.Time // Time until which Low reports true.
 	uncertainUntil time.Time // Until then, another home may still have granted tokens within the window.
 }
 
@@ -78,9 +78,9 @@
 	return &Home{bounds: b, share: 1, accounts: map[string]*accountBucket{}}
 }
 
-// Unsettle records that this process started now, or that other nodes joined or left: an
+// MarkUncertain records that this process started now, or that other nodes joined or left: an
 // account without a bucket here may have had another home until now.
-func (h *Home) Unsettle(now time.Time) { h.uncertainUntil = now.Add(h.bounds.Window) }
+func (h *Home) MarkUncertain(now time.Time) { h.uncertainUntil = now.Add(h.bounds.Window) }
 
 // SetBounds changes the tolerance granted above limits.
 func (h *Home) SetBounds(b Bounds) { h.bounds = b }
@@ -93,12 +93,12 @@
 func (h *Home) Update(m Message) []Command {
 	h.sweep(m.at())
 	switch m := m.(type) {
-	case Asked:
-		return h.asked(m)
+	case TokenRequested:
+		return h.tokenRequested(m)
 	case Reported:
 		h.bucketOf(m.At, m.Account, m.Limit, m.Acting).charge(float64(m.Count))
-	case Resigned:
-		return h.resigned(m)
+	case HomeReturned:
+		return h.homeReturned(m)
 	}
 	return nil
 }
@@ -129,14 +129,14 @@
 	return a
 }
 
-// asked grants a token, or returns after which time to retry.
-func (h *Home) asked(m Asked) []Command {
+// tokenRequested grants a token, or returns after which time to retry.
+func (h *Home) tokenRequested(m TokenRequested) []Command {
 	a := h.bucketOf(m.At, m.Account, m.Limit, m.Acting)
 	a.charge(float64(m.Spent))
 	out := h.claimIfDue(a, m.At, m.Account)
 	answer := Answer{To: m.From, Number: m.Number, Granted: a.take()}
 	if !answer.Granted {
-		answer.After = a.retryAfter(m.At)
+		answer.RetryAfter = a.retryAfter(m.At)
 	}
 	if a.level < lowShare*a.depth {
 		h.lowUntil = m.At.Add(h.bounds.Window)
@@ -148,10 +148,10 @@
 	return append(out, a.reportOver(m.At, m.Account)...)
 }
 
-// resigned reports to the account's home how many tokens were granted in its place, and
+// homeReturned reports to the account's home how many tokens were granted in its place, and
 // forgets the account. A home that returns from a network cut has a full bucket, and without
 // the report would grant its burst a second time.
-func (h *Home) resigned(m Resigned) []Command {
+func (h *Home) homeReturned(m HomeReturned) []Command {
 	a := h.accounts[m.Account]
 	if a == nil || !a.acting {
 		return nil
@@ -165,8 +165,8 @@
 	return []Command{Report{To: m.To, Account: m.Account, Count: deficit}}
 }
 
-// StoodIn returns the accounts for which this node acts as home, in order of their names.
-func (h *Home) StoodIn() []string {
+// ActingFor returns the accounts for which this node acts as home, in order of their names.
+func (h *Home) ActingFor() []string {
 	var out []string
 	for name, a := range h.accounts {
 		if a.acting {
@@ -197,7 +197,7 @@
 	if now.Before(a.lastOver.Add(overInterval)) {
 		return nil
 	}
-	o := Over{Use: a.use(account), Refused: a.refused}
+	o := OverLimit{Use: a.use(account), Refused: a.refused}
 	a.lastOver = now
 	a.refused = 0
 	return []Command{o}
@@ -230,9 +230,9 @@
 	maps.DeleteFunc(h.accounts, func(_ string, a *accountBucket) bool { return now.Sub(a.lastUsed) > idleTime })
 }
 
-// Short reports whether an account whose home is this node has run low on tokens within the
+// Low reports whether an account whose home is this node has run low on tokens within the
 // last window. The fraction of the fleet that is reached then has to be determined.
-func (h *Home) Short(now time.Time) bool { return now.Before(h.lowUntil) }
+func (h *Home) Low(now time.Time) bool { return now.Before(h.lowUntil) }
 
 // Idle reports whether this node is the home of no recently used account.
 func (h *Home) Idle() bool { return len(h.accounts) == 0 }
--- a/quota/homes.go
+++ b/quota/homes.go
@@ -48,10 +48,10 @@
 	Probe(node string)
 }
 
-// Place is the home of an account and the way to reach it.
-type Place struct {
+// Location is the home of an account and the way to reach it.
+type Location struct {
 	Home    string // "" if this node is cut off from all others.
-	Way     string // Node to send to: the home itself, or one that reaches it.
+	Via     string // Node to send to: the home itself, or one that reaches it.
 	Pending bool   // It is not yet determined how the home is reached.
 	Acting  bool   // The home acts in place of one that is gone.
 }
@@ -76,40 +76,40 @@
 // account would have twice its limit, so only a home that no node reaches is considered gone.
 type Homes struct {
 	fleet          Fleet
-	changed        uint64           // Value of Fleet.Changed for which places is valid.
-	places         map[string]Place // Cache of search results by account.
+	changed        uint64              // Value of Fleet.Changed for which locations is valid.
+	locations      map[string]Location // Cache of search results by account.
 	suspects       map[string]*suspect
 	successorPings map[string]time.Time // Time of the last ping that Successors sent to a node.
 }
 
 // NewHomes returns a Homes for the nodes of a fleet.
 func NewHomes(f Fleet) *Homes {
-	return &Homes{fleet: f, places: map[string]Place{}, suspects: map[string]*suspect{}, successorPings: map[string]time.Time{}}
+	return &Homes{fleet: f, locations: map[string]Location{}, suspects: map[string]*suspect{}, successorPings: map[string]time.Time{}}
 }
 
 // Of returns the home of an account and the way to reach it.
-func (h *Homes) Of(account string, now time.Time) Place {
+func (h *Homes) Of(account string, now time.Time) Location {
 	for node, s := range h.suspects {
 		h.review(node, s, now)
 	}
 	if changed := h.fleet.Changed(); changed != h.changed {
 		h.changed = changed
-		clear(h.places)
+		clear(h.locations)
 		maps.DeleteFunc(h.successorPings, func(node string, _ time.Time) bool { return !h.fleet.Known(node) })
 	}
-	p, ok := h.places[account]
+	p, ok := h.locations[account]
 	if ok {
 		return p
 	}
 	p = h.search(account, now)
 	if !p.Pending {
-		h.places[account] = p
+		h.locations[account] = p
 	}
 	return p
 }
 
 // search returns the first node in an account's ranking that is not considered gone.
-func (h *Homes) search(account string, now time.Time) Place {
+func (h *Homes) search(account string, now time.Time) Location {
 	gone := map[string]bool{}
 	for {
 		node := h.fleet.First(account, gone)
@@ -117,26 +117,26 @@
 		linked, _ := h.fleet.Linked(node)
 		switch {
 		case node == h.fleet.Self() || linked && s == nil:
-			return Place{Home: node, Way: node, Acting: len(gone) > 0}
+			return Location{Home: node, Via: node, Acting: len(gone) > 0}
 		case h.fleet.Dial(node):
-			return Place{Home: node, Pending: true}
+			return Location{Home: node, Pending: true}
 		case s == nil:
 			h.Suspect(node, now)
-			return Place{Home: node, Pending: true}
+			return Location{Home: node, Pending: true}
 		case s.via != "":
-			return Place{Home: node, Way: s.via}
+			return Location{Home: node, Via: s.via}
 		case s.isolated:
-			return Place{}
+			return Location{}
 		case !s.gone || now.Before(s.claimedUntil):
-			return Place{Home: node, Pending: true}
+			return Location{Home: node, Pending: true}
 		}
 		gone[node] = true
 	}
 }
 
 // Unanswered records that the home of p did not answer.
-func (h *Homes) Unanswered(p Place, now time.Time) {
-	if s := h.suspects[p.Home]; s != nil && s.via == p.Way {
+func (h *Homes) Unanswered(p Location, now time.Time) {
+	if s := h.suspects[p.Home]; s != nil && s.via == p.Via {
 		s.via = ""
 	}
 	h.Suspect(p.Home, now)
@@ -159,7 +159,7 @@
 // otherwise it pings the node and repeats the probe when they are due.
 func (h *Homes) review(node string, s *suspect, now time.Time) {
 	if h.answered(node, s) || !h.fleet.Known(node) {
-		h.Trust(node)
+		h.ClearSuspicion(node)
 		return
 	}
 	if !now.Before(s.pingedAt.Add(pingInterval)) {
@@ -178,11 +178,11 @@
 	return linked && at.After(s.since)
 }
 
-// Trust ends the suspicion of a node: there is a new link to it.
-func (h *Homes) Trust(node string) {
+// ClearSuspicion ends the suspicion of a node: there is a new link to it.
+func (h *Homes) ClearSuspicion(node string) {
 	if h.suspects[node] != nil {
 		delete(h.suspects, node)
-		clear(h.places)
+		clear(h.locations)
 	}
 }
 
@@ -198,15 +198,15 @@
 	s.pingedAt = now
 	h.fleet.Ping(node)
 	h.fleet.Probe(node)
-	clear(h.places)
+	clear(h.locations)
 }
 
-// Back returns the way to the home of an account for which this node acts as home. ok is
+// HandoverVia returns the way to the home of an account for which this node acts as home. ok is
 // false while the home is not determined or is this node, so that nothing is handed over.
-func (h *Homes) Back(account string, now time.Time) (way string, ok bool) {
+func (h *Homes) HandoverVia(account string, now time.Time) (way string, ok bool) {
 	p := h.Of(account, now)
 	ok = !p.Pending && p.Home != "" && p.Home != h.fleet.Self()
-	return p.Way, ok
+	return p.Via, ok
 }
 
 // Claimed records a claim by the home of accounts for which this node may act as home. Even
@@ -214,7 +214,7 @@
 func (h *Homes) Claimed(node string, now time.Time) {
 	if s := h.suspects[node]; s != nil {
 		s.claimedUntil = now.Add(claimValidity)
-		clear(h.places)
+		clear(h.locations)
 	}
 }
 
@@ -263,7 +263,7 @@
 	if reached {
 		s.via = via
 		s.gone, s.isolated = false, false
-		clear(h.places)
+		clear(h.locations)
 	}
 }
 
@@ -277,7 +277,7 @@
 	}
 	s.probing = false
 	if h.answered(node, s) {
-		h.Trust(node) // Its reply arrived late.
+		h.ClearSuspicion(node) // Its reply arrived late.
 		return
 	}
 	s.isolated = s.via == "" && s.answers == 0
@@ -285,5 +285,5 @@
 	if s.isolated {
 		s.probeAt = now.Add(isolatedRetry)
 	}
-	clear(h.places)
+	clear(h.locations)
 }
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -29,172 +29,172 @@
 	lastUsed    time.Time
 }
 
-// pendingAsk is a request that waits for the answer of a home.
-type pendingAsk struct {
+// pendingRequest is a request that waits for the answer of a home.
+type pendingRequest struct {
 	account string
 	home    string
 	limit   Limit
 }
 
-// Spender decides on the requests that arrive at this node. It is not safe for concurrent
+// Limiter decides on the requests that arrive at this node. It is not safe for concurrent
 // use.
-type Spender struct {
+type Limiter struct {
 	bounds    Bounds
 	nodes     int
 	random    func() float64 // Uniformly distributed in [0, 1).
 	accounts  map[string]*accountState
-	asked     map[uint64]pendingAsk
-	timedOut  map[uint64]pendingAsk // Requests that were decided or asked again before their home answered.
-	unflushed map[string]bool       // Accounts with tokens to report.
+	pending   map[uint64]pendingRequest
+	timedOut  map[uint64]pendingRequest // Requests that were decided or asked again before their home answered.
+	unflushed map[string]bool           // Accounts with tokens to report.
 	lastSweep time.Time
 }
 
-// NewSpender returns a spender for a fleet of one node.
-func NewSpender(b Bounds, random func() float64) *Spender {
-	return &Spender{bounds: b, nodes: 1, random: random, accounts: map[string]*accountState{}, asked: map[uint64]pendingAsk{},
-		timedOut: map[uint64]pendingAsk{}, unflushed: map[string]bool{}}
+// NewLimiter returns a limiter for a fleet of one node.
+func NewLimiter(b Bounds, random func() float64) *Limiter {
+	return &Limiter{bounds: b, nodes: 1, random: random, accounts: map[string]*accountState{}, pending: map[uint64]pendingRequest{},
+		timedOut: map[uint64]pendingRequest{}, unflushed: map[string]bool{}}
 }
 
 // SetBounds changes the tolerance granted above limits.
-func (s *Spender) SetBounds(b Bounds) { s.bounds = b }
+func (l *Limiter) SetBounds(b Bounds) { l.bounds = b }
 
 // SetNodes sets the number of nodes in the fleet; each has an equal share of every limit.
-func (s *Spender) SetNodes(n int) { s.nodes = max(n, 1) }
+func (l *Limiter) SetNodes(n int) { l.nodes = max(n, 1) }
 
 // Dirty reports whether there are tokens to report.
-func (s *Spender) Dirty() bool { return len(s.unflushed) > 0 }
+func (l *Limiter) Dirty() bool { return len(l.unflushed) > 0 }
 
 // Update handles a message and returns the commands that follow from it.
-func (s *Spender) Update(m Message) []Command {
-	s.sweep(m.at())
+func (l *Limiter) Update(m Message) []Command {
+	l.sweep(m.at())
 	switch m := m.(type) {
-	case Wanted:
-		return s.wanted(m)
+	case TokenWanted:
+		return l.tokenWanted(m)
 	case Answered:
-		return s.answered(m)
+		return l.answered(m)
 	case Unanswered:
-		return s.unanswered(m)
+		return l.unanswered(m)
 	case Returned:
-		s.spend(m.Account, -1)
-	case Passed:
-		s.account(m.At, m.Account, m.Limit)
-		s.spend(m.Account, m.Count)
+		l.spend(m.Account, -1)
+	case Misdirected:
+		l.account(m.At, m.Account, m.Limit)
+		l.spend(m.Account, m.Count)
 	case HomeLost:
-		s.homeLost(m)
+		l.homeLost(m)
 	case Flushed:
-		return s.flush()
+		return l.flush()
 	}
 	return nil
 }
 
 // account returns the state of an account, and creates it if necessary.
-func (s *Spender) account(now time.Time, name string, limit Limit) *accountState {
-	a := s.accounts[name]
+func (l *Limiter) account(now time.Time, name string, limit Limit) *accountState {
+	a := l.accounts[name]
 	if a == nil {
 		a = &accountState{}
-		s.accounts[name] = a
+		l.accounts[name] = a
 	}
 	a.limit = limit
 	a.lastUsed = now
 	return a
 }
 
-// wanted decides on a request, or asks the account's home.
-func (s *Spender) wanted(m Wanted) []Command {
-	a := s.account(m.At, m.Account, m.Limit)
+// tokenWanted decides on a request, or asks the account's home.
+func (l *Limiter) tokenWanted(m TokenWanted) []Command {
+	a := l.account(m.At, m.Account, m.Limit)
 	a.home = m.Home
 	switch {
 	case m.At.Before(a.deniedUntil):
 		left := a.deniedUntil.Sub(m.At)
-		return []Command{Refuse{Number: m.Number, After: left + time.Duration(s.random()*float64(left))}}
+		return []Command{Refuse{Number: m.Number, RetryAfter: left + time.Duration(l.random()*float64(left))}}
 	case a.home == "":
-		return s.decideLocally(m.At, m.Number, a, m.Account)
+		return l.decideLocally(m.At, m.Number, a, m.Account)
 	}
 	spent := a.unreported
 	a.unreported = 0
-	delete(s.unflushed, m.Account)
-	s.asked[m.Number] = pendingAsk{account: m.Account, home: a.home, limit: m.Limit}
-	return []Command{Ask{To: a.home, Number: m.Number, Account: m.Account, Spent: spent}}
+	delete(l.unflushed, m.Account)
+	l.pending[m.Number] = pendingRequest{account: m.Account, home: a.home, limit: m.Limit}
+	return []Command{RequestToken{To: a.home, Number: m.Number, Account: m.Account, Spent: spent}}
 }
 
 // spend adds to the tokens to report; count is negative for tokens that are returned.
-func (s *Spender) spend(account string, count int) {
-	a := s.accounts[account]
+func (l *Limiter) spend(account string, count int) {
+	a := l.accounts[account]
 	if a == nil {
 		return
 	}
 	a.unreported += count
-	s.unflushed[account] = true
+	l.unflushed[account] = true
 }
 
 // decideLocally decides by this node's own share of the limit. A node that has just lost its
 // home starts with a token or without one at random, so that the nodes that lose it together
 // have no more in total than toleranceShare allows.
-func (s *Spender) decideLocally(now time.Time, number uint64, a *accountState, account string) []Command {
+func (l *Limiter) decideLocally(now time.Time, number uint64, a *accountState, account string) []Command {
 	if a.local == nil {
-		a.local = &bucket{depth: 1, level: s.random(), updatedAt: now}
-		if s.random()*float64(s.nodes) < toleranceShare*s.bounds.tolerance(a.limit) {
+		a.local = &bucket{depth: 1, level: l.random(), updatedAt: now}
+		if l.random()*float64(l.nodes) < toleranceShare*l.bounds.tolerance(a.limit) {
 			a.local.level = 1
 		}
 	}
-	a.local.rate = localShare * a.limit.Rate / float64(s.nodes)
+	a.local.rate = localShare * a.limit.Rate / float64(l.nodes)
 	a.local.refill(now)
 	if !a.local.take() {
-		return []Command{Refuse{Number: number, After: unconfirmedRetryAfter + time.Duration(s.random()*float64(unconfirmedRetryAfter)), Unconfirmed: true}}
+		return []Command{Refuse{Number: number, RetryAfter: unconfirmedRetryAfter + time.Duration(l.random()*float64(unconfirmedRetryAfter)), Unconfirmed: true}}
 	}
-	s.spend(account, 1)
+	l.spend(account, 1)
 	return []Command{Admit{Number: number}}
 }
 
 // answered applies the home's answer.
-func (s *Spender) answered(m Answered) []Command {
-	asked, ok := s.asked[m.Number]
+func (l *Limiter) answered(m Answered) []Command {
+	request, ok := l.pending[m.Number]
 	if !ok {
-		return s.lateAnswer(m)
+		return l.lateAnswer(m)
 	}
-	delete(s.asked, m.Number)
-	a := s.account(m.At, asked.account, asked.limit)
+	delete(l.pending, m.Number)
+	a := l.account(m.At, request.account, request.limit)
 	if m.Unknown {
-		return s.decideLocally(m.At, m.Number, a, asked.account)
+		return l.decideLocally(m.At, m.Number, a, request.account)
 	}
 	if m.Granted {
 		return []Command{Admit{Number: m.Number}}
 	}
-	a.deniedUntil = m.At.Add(min(m.After, maxDenyTime))
-	return []Command{Refuse{Number: m.Number, After: m.After}}
+	a.deniedUntil = m.At.Add(min(m.RetryAfter, maxDenyTime))
+	return []Command{Refuse{Number: m.Number, RetryAfter: m.RetryAfter}}
 }
 
 // lateAnswer handles the answer to a request that was decided without it. A granted token is
 // not needed, as a request that was admitted otherwise is accounted for separately; it is
 // returned to the home unless another home has been asked since.
-func (s *Spender) lateAnswer(m Answered) []Command {
-	asked, ok := s.timedOut[m.Number]
-	delete(s.timedOut, m.Number)
-	if a := s.accounts[asked.account]; ok && m.Granted && a != nil && a.home == asked.home {
-		s.spend(asked.account, -1)
+func (l *Limiter) lateAnswer(m Answered) []Command {
+	request, ok := l.timedOut[m.Number]
+	delete(l.timedOut, m.Number)
+	if a := l.accounts[request.account]; ok && m.Granted && a != nil && a.home == request.home {
+		l.spend(request.account, -1)
 	}
 	return nil
 }
 
 // unanswered asks again, or decides without a home.
-func (s *Spender) unanswered(m Unanswered) []Command {
-	asked, ok := s.asked[m.Number]
+func (l *Limiter) unanswered(m Unanswered) []Command {
+	request, ok := l.pending[m.Number]
 	if !ok {
 		return nil
 	}
-	delete(s.asked, m.Number)
-	s.timedOut[m.Number] = asked
+	delete(l.pending, m.Number)
+	l.timedOut[m.Number] = request
 	if m.Home != "" {
-		return s.wanted(Wanted{At: m.At, Number: m.Next, Account: asked.account, Limit: asked.limit, Home: m.Home})
+		return l.tokenWanted(TokenWanted{At: m.At, Number: m.Next, Account: request.account, Limit: request.limit, Home: m.Home})
 	}
-	a := s.account(m.At, asked.account, asked.limit)
-	return s.decideLocally(m.At, m.Next, a, asked.account)
+	a := l.account(m.At, request.account, request.limit)
+	return l.decideLocally(m.At, m.Next, a, request.account)
 }
 
 // homeLost forgets a home: nothing more is reported to it. Its pending requests are asked
 // again elsewhere after their timeout.
-func (s *Spender) homeLost(m HomeLost) {
-	for _, a := range s.accounts {
+func (l *Limiter) homeLost(m HomeLost) {
+	for _, a := range l.accounts {
 		if a.home == m.Home {
 			a.home = ""
 		}
@@ -202,12 +202,12 @@
 }
 
 // flush reports the tokens spent or returned since the last report.
-func (s *Spender) flush() []Command {
+func (l *Limiter) flush() []Command {
 	var out []Command
-	for _, name := range slices.Sorted(maps.Keys(s.unflushed)) {
-		a := s.accounts[name]
+	for _, name := range slices.Sorted(maps.Keys(l.unflushed)) {
+		a := l.accounts[name]
 		if a == nil || a.unreported == 0 {
-			delete(s.unflushed, name)
+			delete(l.unflushed, name)
 			continue
 		}
 		if a.home == "" {
@@ -215,17 +215,17 @@
 		}
 		out = append(out, Report{To: a.home, Account: name, Count: a.unreported})
 		a.unreported = 0
-		delete(s.unflushed, name)
+		delete(l.unflushed, name)
 	}
 	return out
 }
 
 // sweep removes accounts without recent requests.
-func (s *Spender) sweep(now time.Time) {
-	if now.Before(s.lastSweep.Add(idleTime)) {
+func (l *Limiter) sweep(now time.Time) {
+	if now.Before(l.lastSweep.Add(idleTime)) {
 		return
 	}
-	s.lastSweep = now
-	maps.DeleteFunc(s.accounts, func(_ string, a *accountState) bool { return now.Sub(a.lastUsed) > idleTime })
-	clear(s.timedOut)
+	l.lastSweep = now
+	maps.DeleteFunc(l.accounts, func(_ string, a *accountState) bool { return now.Sub(a.lastUsed) > idleTime })
+	clear(l.timedOut)
 }
--- a/quota/message.go
+++ b/quota/message.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Message is an input to Home or Spender, with the time at which it arrived.
+// Message is an input to Home or Limiter, with the time at which it arrived.
 type Message interface{ at() time.Time }
 
 // Messages to Home.
 type (
-	// Asked requests a token on behalf of a node.
-	Asked struct {
+	// TokenRequested reports that a node requests a token.
+	TokenRequested struct {
 		At      time.Time
 		From    string // The node's address.
 		Number  uint64 // The request's number at that node.
@@ -25,34 +25,34 @@
 		Count   int // Negative for returned tokens.
 		Acting  bool
 	}
-	// Resigned reports that the home has returned for which this node acted.
-	Resigned struct {
+	// HomeReturned reports that the home has returned for which this node acted.
+	HomeReturned struct {
 		At      time.Time
 		Account string
 		To      string // Node to send to: the home, or one that reaches it.
 	}
 )
 
-// Messages to Spender.
+// Messages to Limiter.
 type (
-	// Wanted requests a token for a request.
-	Wanted struct {
+	// TokenWanted reports that a request needs a token.
+	TokenWanted struct {
 		At      time.Time
 		Number  uint64
 		Account string
 		Limit   Limit
 		Home    string // The address of the account's home; "" if none is reached.
 	}
-	// Answered is a home's answer to an Ask.
+	// Answered is a home's answer to a RequestToken.
 	Answered struct {
-		At      time.Time
-		Number  uint64
-		Granted bool
-		Unknown bool          // The node asked reaches no home itself.
-		After   time.Duration // Retry-after, if not granted.
+		At         time.Time
+		Number     uint64
+		Granted    bool
+		Unknown    bool          // The node asked reaches no home itself.
+		RetryAfter time.Duration // If not granted.
 	}
 	// Unanswered reports that a home did not answer in time. The request continues under
-	// another number, so that a late answer is not mistaken for one to the next Ask.
+	// another number, so that a late answer is not mistaken for one to the next RequestToken.
 	Unanswered struct {
 		At     time.Time
 		Number uint64
@@ -64,8 +64,8 @@
 		At      time.Time
 		Account string
 	}
-	// Passed carries tokens that another node reported here although the home is elsewhere.
-	Passed struct {
+	// Misdirected carries tokens that another node reported here although the home is elsewhere.
+	Misdirected struct {
 		At      time.Time
 		Account string
 		Limit   Limit
@@ -80,33 +80,33 @@
 	Flushed struct{ At time.Time }
 )
 
-func (m Asked) at() time.Time      { return m.At }
-func (m Reported) at() time.Time   { return m.At }
-func (m Resigned) at() time.Time   { return m.At }
-func (m Wanted) at() time.Time     { return m.At }
-func (m Answered) at() time.Time   { return m.At }
-func (m Unanswered) at() time.Time { return m.At }
-func (m Returned) at() time.Time   { return m.At }
-func (m Passed) at() time.Time     { return m.At }
-func (m HomeLost) at() time.Time   { return m.At }
-func (m Flushed) at() time.Time    { return m.At }
+func (m TokenRequested) at() time.Time { return m.At }
+func (m Reported) at() time.Time       { return m.At }
+func (m HomeReturned) at() time.Time   { return m.At }
+func (m TokenWanted) at() time.Time    { return m.At }
+func (m Answered) at() time.Time       { return m.At }
+func (m Unanswered) at() time.Time     { return m.At }
+func (m Returned) at() time.Time       { return m.At }
+func (m Misdirected) at() time.Time    { return m.At }
+func (m HomeLost) at() time.Time       { return m.At }
+func (m Flushed) at() time.Time        { return m.At }
 
-// Command is an action that Home or Spender requests.
+// Command is an action that Home or Limiter requests.
 type Command interface{ command() }
 
 // Commands of Home.
 type (
 	// Answer sends a node the decision on its request.
 	Answer struct {
-		To      string
-		Number  uint64
-		Granted bool
-		After   time.Duration
+		To         string
+		Number     uint64
+		Granted    bool
+		RetryAfter time.Duration
 	}
 	// Claim notifies an account's successors that this node is its home.
 	Claim struct{ Account string }
-	// Over reports, at most once per second, that an account is over its limit.
-	Over struct {
+	// OverLimit reports, at most once per second, that an account is over its limit.
+	OverLimit struct {
 		Use
 		Refused int // Requests refused since the last report.
 	}
@@ -119,18 +119,18 @@
 	Count   int
 }
 
-// Commands of Spender.
+// Commands of Limiter.
 type (
 	// Admit admits a request.
 	Admit struct{ Number uint64 }
 	// Refuse refuses a request.
 	Refuse struct {
 		Number      uint64
-		After       time.Duration // Retry-after.
+		RetryAfter  time.Duration // Retry-after.
 		Unconfirmed bool          // It could not be determined whether the account is over its limit.
 	}
-	// Ask requests a token from a home.
-	Ask struct {
+	// RequestToken requests a token from a home.
+	RequestToken struct {
 		To      string
 		Number  uint64
 		Account string
@@ -138,10 +138,10 @@
 	}
 )
 
-func (Answer) command() {}
-func (Over) command()   {}
-func (Claim) command()  {}
-func (Admit) command()  {}
-func (Refuse) command() {}
-func (Ask) command()    {}
-func (Report) command() {}
+func (Answer) command()       {}
+func (OverLimit) command()    {}
+func (Claim) command()        {}
+func (Admit) command()        {}
+func (Refuse) command()       {}
+func (RequestToken) command() {}
+func (Report) command()       {}
--- a/quota/modelnode_test.go
+++ b/quota/modelnode_test.go
@@ -26,7 +26,7 @@
 	isolated    bool // All its links are cut.
 	metNewcomer bool // It has a record of the newcomer.
 	home        *Home
-	spender     *Spender
+	limiter     *Limiter
 	homes       *Homes
 	number      uint64
 	waiting     map[uint64]*modelRequest
@@ -39,7 +39,7 @@
 // modelRequest is a request that waits for a decision.
 type modelRequest struct {
 	arrivedAt time.Duration
-	place     Place
+	location  Location
 	hops      int
 	decide    func(granted, unknown bool, after time.Duration)
 }
@@ -144,7 +144,7 @@
 		return
 	}
 	count := modelCountSample
-	if n.home.Short(n.time()) {
+	if n.home.Low(n.time()) {
 		count = len(n.nodes)
 	}
 	asked, replied := 1, 1
@@ -164,9 +164,9 @@
 
 // resign hands over to homes that have returned.
 func (n *modelNode) resign() {
-	for _, account := range n.home.StoodIn() {
-		if way, ok := n.homes.Back(account, n.time()); ok {
-			n.do(n.home.Update(Resigned{At: n.time(), Account: account, To: way}))
+	for _, account := range n.home.ActingFor() {
+		if way, ok := n.homes.HandoverVia(account, n.time()); ok {
+			n.do(n.home.Update(HomeReturned{At: n.time(), Account: account, To: way}))
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	}
 	n.down[to] = true
 	n.change()
-	n.do(n.spender.Update(HomeLost{At: n.time(), Home: address(to)}))
+	n.do(n.limiter.Update(HomeLost{At: n.time(), Home: address(to)}))
 	n.redial(to, n.life)
 }
 
@@ -219,7 +219,7 @@
 		if n.nodes[to].alive && !n.cut[[2]int{n.id, to}] && !n.cut[[2]int{to, n.id}] {
 			delete(n.down, to)
 			n.change()
-			n.homes.Trust(address(to))
+			n.homes.ClearSuspicion(address(to))
 			return
 		}
 		n.redial(to, life)
@@ -232,10 +232,10 @@
 	n.alive = true
 	n.home = NewHome(n.bounds)
 	if n.now > 0 {
-		n.home.Unsettle(n.time()) // The initial fleet counts as unchanged for long.
+		n.home.MarkUncertain(n.time()) // The initial fleet counts as unchanged for long.
 	}
-	n.spender = NewSpender(n.bounds, n.random.Float64)
-	n.spender.SetNodes(len(n.nodes))
+	n.limiter = NewLimiter(n.bounds, n.random.Float64)
+	n.limiter.SetNodes(len(n.nodes))
 	n.homes = NewHomes(n)
 	n.waiting = map[uint64]*modelRequest{}
 	n.flushed = false
@@ -248,7 +248,7 @@
 // change records that another node joined or left.
 func (n *modelNode) change() {
 	n.changed++
-	n.home.Unsettle(n.time())
+	n.home.MarkUncertain(n.time())
 }
 
 // request handles a request of the account.
@@ -278,7 +278,7 @@
 		n.number++
 		number := n.number
 		n.waiting[number] = r
-		n.do(n.spender.Update(Wanted{At: n.time(), Number: number, Account: modelAccount, Limit: n.limit, Home: r.place.Way}))
+		n.do(n.limiter.Update(TokenWanted{At: n.time(), Number: number, Account: modelAccount, Limit: n.limit, Home: r.location.Via}))
 		n.awaitAnswer(number, n.life)
 	})
 }
@@ -288,13 +288,13 @@
 	if n.life != life || !n.alive {
 		return
 	}
-	r.place = n.homes.Of(modelAccount, n.time())
-	if !r.place.Pending {
+	r.location = n.homes.Of(modelAccount, n.time())
+	if !r.location.Pending {
 		next()
 		return
 	}
 	if n.now >= r.arrivedAt+modelTotalTimeout {
-		r.place = Place{}
+		r.location = Location{}
 		next()
 		return
 	}
@@ -311,9 +311,9 @@
 		if n.life != life || !n.alive || r == nil {
 			return
 		}
-		n.homes.Unanswered(r.place, n.time())
+		n.homes.Unanswered(r.location, n.time())
 		if n.now >= r.arrivedAt+modelTotalTimeout {
-			r.place = Place{}
+			r.location = Location{}
 			n.askAgain(number, r, life)
 			return
 		}
@@ -329,7 +329,7 @@
 	n.number++
 	next := n.number
 	n.waiting[next] = r
-	n.do(n.spender.Update(Unanswered{At: n.time(), Number: number, Next: next, Home: r.place.Way}))
+	n.do(n.limiter.Update(Unanswered{At: n.time(), Number: number, Next: next, Home: r.location.Via}))
 	n.awaitAnswer(next, life)
 }
 
@@ -340,9 +340,9 @@
 		case Admit:
 			n.decide(c.Number, true, false, 0)
 		case Refuse:
-			n.decide(c.Number, c.Unconfirmed && n.fault == faultUnlimitedLocal, c.Unconfirmed, c.After)
-		case Ask:
-			n.ask(c)
+			n.decide(c.Number, c.Unconfirmed && n.fault == faultUnlimitedLocal, c.Unconfirmed, c.RetryAfter)
+		case RequestToken:
+			n.requestToken(c)
 		case Report:
 			n.report(c)
 		case Claim:
@@ -352,13 +352,13 @@
 			n.sendAnswer(c)
 		}
 	}
-	if n.spender.Dirty() && !n.flushed {
+	if n.limiter.Dirty() && !n.flushed {
 		n.flushed = true
 		life := n.life
 		n.after(modelFlushDelay, func() {
 			if n.life == life && n.alive {
 				n.flushed = false
-				n.do(n.spender.Update(Flushed{At: n.time()}))
+				n.do(n.limiter.Update(Flushed{At: n.time()}))
 			}
 		})
 	}
@@ -392,29 +392,29 @@
 	n.send(idOf(to), do)
 }
 
-func (n *modelNode) ask(c Ask) {
+func (n *modelNode) requestToken(c RequestToken) {
 	hops := 0
 	if r := n.waiting[c.Number]; r != nil {
 		hops = r.hops
 	}
-	n.sendTo(c.To, func(to *modelNode) { to.asked(n.Self(), c, hops) })
+	n.sendTo(c.To, func(to *modelNode) { to.tokenRequested(n.Self(), c, hops) })
 }
 
-// asked answers an Ask, or forwards it to the home.
-func (n *modelNode) asked(from string, c Ask, hops int) {
-	place := n.homes.Of(modelAccount, n.time())
+// tokenRequested answers a RequestToken, or forwards it to the home.
+func (n *modelNode) tokenRequested(from string, c RequestToken, hops int) {
+	location := n.homes.Of(modelAccount, n.time())
 	switch {
-	case place.Home == n.Self():
-		n.do(n.home.Update(Asked{At: n.time(), From: from, Number: c.Number, Account: c.Account, Limit: n.limit, Spent: c.Spent, Acting: place.Acting}))
+	case location.Home == n.Self():
+		n.do(n.home.Update(TokenRequested{At: n.time(), From: from, Number: c.Number, Account: c.Account, Limit: n.limit, Spent: c.Spent, Acting: location.Acting}))
 	case hops >= 2:
 		n.sendTo(from, func(to *modelNode) {
-			to.do(to.spender.Update(Answered{At: to.time(), Number: c.Number, Unknown: true}))
+			to.do(to.limiter.Update(Answered{At: to.time(), Number: c.Number, Unknown: true}))
 		})
 	default:
-		n.do(n.spender.Update(Passed{At: n.time(), Account: c.Account, Limit: n.limit, Count: c.Spent}))
+		n.do(n.limiter.Update(Misdirected{At: n.time(), Account: c.Account, Limit: n.limit, Count: c.Spent}))
 		n.decideRequest(hops+1, func(granted, unknown bool, after time.Duration) {
 			n.sendTo(from, func(to *modelNode) {
-				to.do(to.spender.Update(Answered{At: to.time(), Number: c.Number, Granted: granted, Unknown: unknown, After: after}))
+				to.do(to.limiter.Update(Answered{At: to.time(), Number: c.Number, Granted: granted, Unknown: unknown, RetryAfter: after}))
 			})
 		})
 	}
@@ -422,7 +422,7 @@
 
 func (n *modelNode) sendAnswer(c Answer) {
 	n.sendTo(c.To, func(to *modelNode) {
-		to.do(to.spender.Update(Answered{At: to.time(), Number: c.Number, Granted: c.Granted, After: c.After}))
+		to.do(to.limiter.Update(Answered{At: to.time(), Number: c.Number, Granted: c.Granted, RetryAfter: c.RetryAfter}))
 	})
 }
 
@@ -447,10 +447,10 @@
 
 func (n *modelNode) report(c Report) {
 	n.sendTo(c.To, func(to *modelNode) {
-		if place := to.homes.Of(modelAccount, to.time()); place.Home == to.Self() {
-			to.do(to.home.Update(Reported{At: to.time(), Account: c.Account, Limit: to.limit, Count: c.Count, Acting: place.Acting}))
+		if location := to.homes.Of(modelAccount, to.time()); location.Home == to.Self() {
+			to.do(to.home.Update(Reported{At: to.time(), Account: c.Account, Limit: to.limit, Count: c.Count, Acting: location.Acting}))
 			return
 		}
-		to.do(to.spender.Update(Passed{At: to.time(), Account: c.Account, Limit: to.limit, Count: c.Count}))
+		to.do(to.limiter.Update(Misdirected{At: to.time(), Account: c.Account, Limit: to.limit, Count: c.Count}))
 	})
 }
--- a/quota/script_test.go
+++ b/quota/script_test.go
@@ -80,12 +80,12 @@
 		if c.Unconfirmed {
 			suffix = " unconfirmed"
 		}
-		return fmt.Sprintf("refuse %d after %v%s", c.Number, c.After, suffix)
-	case Ask:
+		return fmt.Sprintf("refuse %d after %v%s", c.Number, c.RetryAfter, suffix)
+	case RequestToken:
 		return fmt.Sprintf("ask %s %d spent %d", c.To, c.Number, c.Spent)
 	case Claim:
 		return "claim"
-	case Over:
+	case OverLimit:
 		return fmt.Sprintf("over by %d", c.Refused)
 	case Report:
 		return fmt.Sprintf("report %s %d", c.To, c.Count)
@@ -93,27 +93,27 @@
 		if c.Granted {
 			return fmt.Sprintf("grant %s %d", c.To, c.Number)
 		}
-		return fmt.Sprintf("deny %s %d after %v", c.To, c.Number, c.After.Round(time.Millisecond))
+		return fmt.Sprintf("deny %s %d after %v", c.To, c.Number, c.RetryAfter.Round(time.Millisecond))
 	default:
 		return "unknown"
 	}
 }
 
-func TestSpender(t *testing.T) {
+func TestLimiter(t *testing.T) {
 	var scripts []limiterScript
 	readScripts(t, "limiter.yaml", &scripts)
 	for _, script := range scripts {
 		t.Run(script.Why, func(t *testing.T) {
-			s := NewSpender(Bounds{Window: 5 * time.Second}, func() float64 { return 0.5 })
-			s.SetNodes(script.Nodes)
+			l := NewLimiter(Bounds{Window: 5 * time.Second}, func() float64 { return 0.5 })
+			l.SetNodes(script.Nodes)
 			for i, step := range script.Steps {
 				at := scriptStart.Add(step.At)
 				var m Message
 				switch {
 				case step.Wanted > 0:
-					m = Wanted{At: at, Number: step.Wanted, Account: "office", Limit: scriptLimit, Home: step.Home}
+					m = TokenWanted{At: at, Number: step.Wanted, Account: "office", Limit: scriptLimit, Home: step.Home}
 				case step.Answered > 0:
-					m = Answered{At: at, Number: step.Answered, Granted: step.Granted, Unknown: step.Unknown, After: step.After}
+					m = Answered{At: at, Number: step.Answered, Granted: step.Granted, Unknown: step.Unknown, RetryAfter: step.After}
 				case step.Unanswered > 0:
 					m = Unanswered{At: at, Number: step.Unanswered, Next: step.Next, Home: step.Home}
 				case step.Returned:
@@ -123,7 +123,7 @@
 				case step.Flushed:
 					m = Flushed{At: at}
 				}
-				assert.Equal(t, step.Want, formatAll(s.Update(m)), "step %d", i)
+				assert.Equal(t, step.Want, formatAll(l.Update(m)), "step %d", i)
 			}
 		})
 	}
@@ -136,7 +136,7 @@
 		t.Run(script.Why, func(t *testing.T) {
 			h := NewHome(Bounds{Window: 5 * time.Second, Over: 0.1, Slack: 34})
 			if !script.Settled {
-				h.Unsettle(scriptStart)
+				h.MarkUncertain(scriptStart)
 			}
 			if script.Share > 0 {
 				h.SetShare(script.Share)
@@ -153,13 +153,13 @@
 				}
 				var commands []Command
 				for n := range step.Asked {
-					commands = append(commands, h.Update(Asked{At: at, From: from, Number: uint64(n + 1), Account: "office", Limit: limit, Acting: step.Acting})...)
+					commands = append(commands, h.Update(TokenRequested{At: at, From: from, Number: uint64(n + 1), Account: "office", Limit: limit, Acting: step.Acting})...)
 				}
 				if step.Reported != 0 {
 					commands = h.Update(Reported{At: at, Account: "office", Limit: limit, Count: step.Reported, Acting: step.Acting})
 				}
 				if step.Resigned != "" {
-					commands = h.Update(Resigned{At: at, Account: "office", To: step.Resigned})
+					commands = h.Update(HomeReturned{At: at, Account: "office", To: step.Resigned})
 				}
 				assert.Equal(t, step.Want, formatAll(commands), "step %d", i)
 			}
@@ -171,17 +171,17 @@
 // removed, both at the home and at the nodes that received their requests.
 func TestForgetsIdleAccounts(t *testing.T) {
 	b := Bounds{Window: 5 * time.Second}
-	h, s := NewHome(b), NewSpender(b, func() float64 { return 0.5 })
+	h, l := NewHome(b), NewLimiter(b, func() float64 { return 0.5 })
 	for n := range uint64(100) {
 		name := fmt.Sprint(n)
-		h.Update(Asked{At: scriptStart, From: "a", Number: n, Account: name, Limit: scriptLimit})
-		s.Update(Wanted{At: scriptStart, Number: n, Account: name, Limit: scriptLimit, Home: "h"})
-		s.Update(Answered{At: scriptStart, Number: n, Granted: true})
+		h.Update(TokenRequested{At: scriptStart, From: "a", Number: n, Account: name, Limit: scriptLimit})
+		l.Update(TokenWanted{At: scriptStart, Number: n, Account: name, Limit: scriptLimit, Home: "h"})
+		l.Update(Answered{At: scriptStart, Number: n, Granted: true})
 	}
 	assert.Len(t, h.Uses(scriptStart, 1000), 100)
 	later := scriptStart.Add(idleTime + time.Second)
 	h.Update(Reported{At: later, Account: "one", Limit: scriptLimit})
-	s.Update(Flushed{At: later})
+	l.Update(Flushed{At: later})
 	assert.Len(t, h.Uses(later, 1000), 1, "the one that was just reported for")
-	assert.Empty(t, s.accounts)
+	assert.Empty(t, l.accounts)
 }
