--- a/budget/budget.go
+++ b/budget/budget.go
@@ -9,9 +9,9 @@
 // # Usage
 //
 //	b := budget.New(0.2, 60, time.Now())
-//	b.NoteGates(12)
-//	b.Earn(now)                        // A first attempt starts.
-//	if b.Take(now, budget.Hedge) {     // A repeat may start.
+//	b.ObserveGates(12)
+//	b.CountFirst(now)                     // A first attempt starts.
+//	if b.TryTake(now, budget.Hedge) {     // A repeat may start.
 //	}
 package budget
 
@@ -36,23 +36,23 @@
 	hedgeReserve = 0.3
 )
 
-// Claim is the kind of an attempt: whether and why it repeats another one.
-type Claim uint8
+// AttemptKind is the kind of an attempt: whether and why it repeats another one.
+type AttemptKind uint8
 
 // Kinds of attempt.
 const (
-	First   Claim = iota // It repeats nothing.
-	Charged              // A nested request of a repeated run: counted, but never refused.
-	Failure              // A repeat after a failed attempt.
-	Hedge                // A repeat beside an attempt that takes long.
+	First        AttemptKind = iota // It repeats nothing.
+	Charged                         // A nested request of a repeated run: counted, but never refused.
+	FailureRetry                    // A repeat after a failed attempt.
+	Hedge                           // A repeat beside an attempt that takes long.
 )
 
-// Repeats reports whether the attempt needs budget to start.
-func (c Claim) Repeats() bool { return c == Failure || c == Hedge }
+// NeedsBudget reports whether the attempt needs budget to start.
+func (k AttemptKind) NeedsBudget() bool { return k == FailureRetry || k == Hedge }
 
 // reserve returns the part of the budget that this kind may not use.
-func (c Claim) reserve() float64 {
-	if c == Hedge {
+func (k AttemptKind) reserve() float64 {
+	if k == Hedge {
 		return hedgeReserve
 	}
 	return 0
@@ -85,69 +85,69 @@
 	b.slack = slack * slackShare
 }
 
-// NoteGates records how many gates the service has now.
-func (b *Budget) NoteGates(gates int) {
+// ObserveGates records how many gates the service has now.
+func (b *Budget) ObserveGates(gates int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.gates = max(b.gates, gates)
 }
 
-// NotePlace sets the gate's rank in an order of all nodes, in [0, 1). Repeats are counted in
+// SetRank sets the gate's rank in an order of all nodes, in [0, 1). Repeats are counted in
 // whole numbers, but a gate's budget is a fraction: with more gates than slack, every gate has
 // less than one repeat, and none could repeat anything until its upstream had several requests.
 // The rank decides whether the budget is rounded up or down. As ranks are evenly spread, the
 // sum over all gates stays the same.
-func (b *Budget) NotePlace(place float64) {
+func (b *Budget) SetRank(rank float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rounding = place
+	b.rounding = rank
 }
 
-// Earn counts a first attempt.
-func (b *Budget) Earn(now time.Time) {
+// CountFirst counts a first attempt.
+func (b *Budget) CountFirst(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.firsts.add(now)
 }
 
-// Charge counts a nested request of a repeated run, which is never refused.
-func (b *Budget) Charge(now time.Time) {
+// CountCharged counts a nested request of a repeated run, which is never refused.
+func (b *Budget) CountCharged(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.repeats.add(now)
 }
 
-// Take counts a repeat and returns true if the budget allows it.
-func (b *Budget) Take(now time.Time, c Claim) bool {
+// TryTake counts a repeat and returns true if the budget allows it.
+func (b *Budget) TryTake(now time.Time, k AttemptKind) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.allows(now, c) {
+	if !b.allows(now, k) {
 		return false
 	}
 	b.repeats.add(now)
 	return true
 }
 
-// Return gives back a repeat that was taken at the given time and has not started.
-func (b *Budget) Return(taken time.Time) {
+// Refund gives back a repeat that was taken at the given time and has not started.
+func (b *Budget) Refund(taken time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.repeats.remove(taken)
 }
 
-// Has reports whether the budget allows a repeat, without counting one.
-func (b *Budget) Has(now time.Time, c Claim) bool {
+// CanTake reports whether the budget allows a repeat, without counting one.
+func (b *Budget) CanTake(now time.Time, k AttemptKind) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.allows(now, c)
+	return b.allows(now, k)
 }
 
 // allows reports whether one more repeat is within the limit. The caller holds the lock.
-func (b *Budget) allows(now time.Time, c Claim) bool {
+func (b *Budget) allows(now time.Time, k AttemptKind) bool {
 	slack := b.slack
 	if now.Before(b.startupEnds) {
 		slack = startupShare * b.slack
 	}
 	bound := b.ratio*b.firsts.sum(now) + slack/float64(b.gates)
-	return b.repeats.sum(now)+1 <= (1-c.reserve())*bound+b.rounding
+	return b.repeats.sum(now)+1 <= (1-k.reserve())*bound+b.rounding
 }
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -30,8 +30,8 @@
 	f.budgets = nil
 	for i := range budgetGates {
 		b := New(budgetRatio, budgetSlack, now)
-		b.NoteGates(budgetGates)
-		b.NotePlace(roundingOf(i, budgetGates))
+		b.ObserveGates(budgetGates)
+		b.SetRank(roundingOf(i, budgetGates))
 		f.budgets = append(f.budgets, b)
 	}
 }
@@ -46,19 +46,19 @@
 	delay := time.Duration(second*7%10) * 95 * time.Millisecond
 	for _, b := range f.budgets {
 		for range f.random.IntN(3) * ((second + 1) % 15 / 5) {
-			b.Earn(now)
+			b.CountFirst(now)
 			f.requests = append(f.requests, at)
 		}
 		if f.random.IntN(1000) == 0 {
-			b.Charge(now)
+			b.CountCharged(now)
 			f.repeats = append(f.repeats, at)
 		}
 		for range 5 {
-			if !b.Take(now, Failure) {
+			if !b.TryTake(now, FailureRetry) {
 				continue
 			}
 			if f.random.IntN(4) == 0 {
-				b.Return(now) // Its offer was withdrawn before it started.
+				b.Refund(now) // Its offer was withdrawn before it started.
 				f.returned++
 				continue
 			}
@@ -105,12 +105,12 @@
 	b := New(0, 10/slackShare, time.Time{})
 	now := time.Unix(1000, 0)
 	hedges := 0
-	for b.Take(now, Hedge) {
+	for b.TryTake(now, Hedge) {
 		hedges++
 	}
 	assert.Equal(t, 7, hedges)
-	assert.True(t, b.Take(now, Failure), "a failure may still be repeated")
-	assert.True(t, b.Take(now.Add(window), Hedge), "a window later the budget is full again")
+	assert.True(t, b.TryTake(now, FailureRetry), "a failure may still be repeated")
+	assert.True(t, b.TryTake(now.Add(window), Hedge), "a window later the budget is full again")
 }
 
 // Charged requests must reduce the budget, although they are never refused.
@@ -118,10 +118,10 @@
 	b := New(0, 10/slackShare, time.Time{})
 	now := time.Unix(1000, 0)
 	for range 9 {
-		b.Charge(now)
+		b.CountCharged(now)
 	}
-	assert.True(t, b.Take(now, Failure))
-	assert.False(t, b.Take(now, Failure))
+	assert.True(t, b.TryTake(now, FailureRetry))
+	assert.False(t, b.TryTake(now, FailureRetry))
 }
 
 // A fleet that restarts after it used all of its slack must not exceed the slack in total.
@@ -133,9 +133,9 @@
 	for _, started := range []time.Time{begin, now} {
 		for i := range budgetGates {
 			b := New(0, slack, started)
-			b.NoteGates(budgetGates)
-			b.NotePlace(roundingOf(i, budgetGates))
-			for b.Take(now, Failure) {
+			b.ObserveGates(budgetGates)
+			b.SetRank(roundingOf(i, budgetGates))
+			for b.TryTake(now, FailureRetry) {
 				spent++
 			}
 		}
@@ -156,9 +156,9 @@
 			given := 0
 			for i := range c.gates {
 				b := New(budgetRatio, c.slack, started)
-				b.NoteGates(c.gates)
-				b.NotePlace(roundingOf(i, c.gates))
-				for b.Take(begin, Failure) {
+				b.ObserveGates(c.gates)
+				b.SetRank(roundingOf(i, c.gates))
+				for b.TryTake(begin, FailureRetry) {
 					given++
 				}
 			}
@@ -176,12 +176,12 @@
 func TestReturnCountsInItsOwnBucket(t *testing.T) {
 	b := New(0, 1/slackShare, time.Time{})
 	taken := time.Unix(1000, 0)
-	assert.True(t, b.Take(taken, Failure))
-	b.Return(taken)
+	assert.True(t, b.TryTake(taken, FailureRetry))
+	b.Refund(taken)
 	later := taken.Add(window - bucket)
-	assert.True(t, b.Take(later, Failure))
-	assert.False(t, b.Take(later, Failure))
-	assert.False(t, b.Take(taken.Add(window), Failure), "a returned repeat is available only once")
-	b.Return(taken) // Its bucket has left the window.
-	assert.False(t, b.Take(taken.Add(window), Failure))
+	assert.True(t, b.TryTake(later, FailureRetry))
+	assert.False(t, b.TryTake(later, FailureRetry))
+	assert.False(t, b.TryTake(taken.Add(window), FailureRetry), "a returned repeat is available only once")
+	b.Refund(taken) // Its bucket has left the window.
+	assert.False(t, b.TryTake(taken.Add(window), FailureRetry))
 }
--- a/gate/admission.go
+++ b/gate/admission.go
@@ -28,9 +28,9 @@
 type entry struct {
 	Offered
 	phase       phase
-	position    overload.Place // Key in the queue.
-	expires     time.Time      // When a grant lapses, or the wait in the queue ends.
-	admitted    time.Time      // When it got its slot.
+	queueKey    overload.QueueKey // Key in the queue.
+	expires     time.Time         // When a grant lapses, or the wait in the queue ends.
+	admitted    time.Time         // When it got its slot.
 	started     time.Time
 	upstream    port.Incarnation // The incarnation that runs it.
 	sample      *sample          // Evidence for the hang detector, once it runs.
@@ -120,10 +120,10 @@
 	if reason := a.refusalReason(m); reason != link.ReasonNone {
 		return a.refuse(m, reason)
 	}
-	e := &entry{Offered: m, position: overload.NewPlace(m.At, m.Priority, m.Aim, m.Deadline)}
+	e := &entry{Offered: m, queueKey: overload.NewQueueKey(m.At, m.Priority, m.Aim, m.Deadline)}
 	expected := a.expectedTime(m.Kind, m.Aim.Sub(m.At))
 	if a.switches.On(switches.LateLast) {
-		e.position.Note(m.At, expected)
+		e.queueKey.Update(m.At, expected)
 	}
 	// An entry that is queued while a slot is free is a non-retryable request that has to wait
 	// (mustWait). It does not block others.
@@ -136,7 +136,7 @@
 	}
 	i, _ := slices.BinarySearchFunc(a.queue, e, compareQueued)
 	wait := a.wait(m.At, i)
-	if i >= maxQueuePerSlot*a.slots || m.At.Add(wait+expected).After(e.position.Limit()) || !a.mayWait(e, wait) {
+	if i >= maxQueuePerSlot*a.slots || m.At.Add(wait+expected).After(e.queueKey.Limit()) || !a.mayWait(e, wait) {
 		return []Command{Refuse{Key: m.Key, Reason: link.ReasonBusy, After: wait}}
 	}
 	e.Ready = false // Another gate may get the request meanwhile; the commit decides.
@@ -173,7 +173,7 @@
 		return link.ReasonTrial
 	case !m.Deadline.After(m.At):
 		return link.ReasonExpired
-	case m.Claim.Repeats() && !a.budget.Has(m.At, m.Claim):
+	case m.Claim.NeedsBudget() && !a.budget.CanTake(m.At, m.Claim):
 		return link.ReasonBudget
 	default:
 		return link.ReasonNone
@@ -263,10 +263,10 @@
 // takeBudget takes a repeat from the budget and reports whether the entry may start. An entry
 // that is no repeat needs no budget.
 func (a *Admission) takeBudget(at time.Time, e *entry) bool {
-	if !e.Claim.Repeats() {
+	if !e.Claim.NeedsBudget() {
 		return true
 	}
-	if !a.budget.Take(at, e.Claim) {
+	if !a.budget.TryTake(at, e.Claim) {
 		return false
 	}
 	e.budgetTaken = at
@@ -285,13 +285,13 @@
 }
 
 // countStart counts the start of an attempt that needs no budget.
-func (a *Admission) countStart(at time.Time, c budget.Claim) {
-	if c.Repeats() {
+func (a *Admission) countStart(at time.Time, k budget.AttemptKind) {
+	if k.NeedsBudget() {
 		return
 	}
-	a.budget.Earn(at)
-	if c == budget.Charged {
-		a.budget.Charge(at)
+	a.budget.CountFirst(at)
+	if k == budget.Charged {
+		a.budget.CountCharged(at)
 	}
 }
 
--- a/gate/message.go
+++ b/gate/message.go
@@ -24,7 +24,7 @@
 	Force     bool
 	Ready     bool   // It came with its content and may start at once.
 	Kind      uint32 // Requests of one kind take about the same time.
-	Claim     budget.Claim
+	Claim     budget.AttemptKind
 }
 
 // Committed reports the commit of a granted offer.
--- a/gate/parent_test.go
+++ b/gate/parent_test.go
@@ -50,7 +50,7 @@
 	assert.True(t, ok)
 	assert.True(t, p.Repeat)
 	assert.Equal(t, 1, p.Priority)
-	assert.Positive(t, p.Deadline.Sub(p.Aim))
+	assert.Positive(t, p.Deadline.Sub(p.TargetDeadline))
 	p, ok = g.Parent("a1")
 	assert.True(t, ok)
 	assert.False(t, p.Repeat, "the first attempt is no repeat")
--- a/gate/queue.go
+++ b/gate/queue.go
@@ -26,7 +26,7 @@
 )
 
 // compareQueued compares entries by their order in the queue.
-func compareQueued(a, b *entry) int { return a.position.Compare(&b.position) }
+func compareQueued(a, b *entry) int { return a.queueKey.Compare(&b.queueKey) }
 
 // reorder moves entries back that can no longer meet their target deadline, and refuses those
 // that would wait too long there.
@@ -35,7 +35,7 @@
 		return nil
 	}
 	for _, e := range a.queue {
-		e.position.Note(at, a.expectedTime(e.Kind, e.Aim.Sub(at)))
+		e.queueKey.Update(at, a.expectedTime(e.Kind, e.Aim.Sub(at)))
 	}
 	slices.SortStableFunc(a.queue, compareQueued)
 	var out []Command
@@ -51,7 +51,7 @@
 // mayWait reports whether an offer may wait for so long. Past its target deadline it may wait
 // for a few answers only: others would overtake it until its deadline.
 func (a *Admission) mayWait(e *entry, wait time.Duration) bool {
-	return !e.position.Late() || wait <= lateWaitFactor*a.estimatedResponseTime()
+	return !e.queueKey.Late() || wait <= lateWaitFactor*a.estimatedResponseTime()
 }
 
 // estimatedResponseTime returns the mean response time, or an assumed one before the first
@@ -85,7 +85,7 @@
 func (a *Admission) drop(e *entry) {
 	delete(a.entries, e.Key)
 	if !e.budgetTaken.IsZero() && e.phase != running {
-		a.budget.Return(e.budgetTaken)
+		a.budget.Refund(e.budgetTaken)
 	}
 	if e.phase == queued {
 		a.queue = slices.DeleteFunc(a.queue, func(o *entry) bool { return o == e })
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -162,9 +162,9 @@
 		f.dialect.Conceal(header)
 	}
 	deadline := r.Arrived.Add(callerTimeout(metadata.Patience, matched.Timeout))
-	requirements := overload.NewTerms(matched.Priority, r.Arrived, matched.Target, deadline).ForAccount(table.Priority(matched, account))
+	requirements := overload.NewRequirements(matched.Priority, r.Arrived, matched.Target, deadline).ForAccount(table.Priority(matched, account))
 	if isNested && f.endpoints.switches.On(switches.CallTerms) {
-		requirements = requirements.ForAccount(table.CallPriority(matched, parent.Priority)).ForCall(parent)
+		requirements = requirements.ForAccount(table.CallPriority(matched, parent.Priority)).ForNested(parent)
 	}
 	return &inFlightRequest{
 		forwarder:    f,
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -35,7 +35,7 @@
 	latency        *core.LatencyPercentile // Latency percentile of the route.
 	arrived        time.Time
 	deadline       time.Time
-	requirements   overload.Terms
+	requirements   overload.Requirements
 	saturated      func() bool // Reports whether the upstream beside this node has no free slot.
 	events         chan event
 	offers         []*offer
--- a/ingress/inflight_test.go
+++ b/ingress/inflight_test.go
@@ -56,7 +56,7 @@
 	}
 	req := &inFlightRequest{forwarder: f, route: &route.Route{Target: time.Second, Attempts: 2}, service: "a", latency: &core.LatencyPercentile{},
 		content: &link.Content{}, arrived: now, deadline: now.Add(3 * time.Second), events: make(chan event, eventBuffer), saturated: func() bool { return true }}
-	req.requirements = overload.NewTerms(0, now, req.route.Target, req.deadline)
+	req.requirements = overload.NewRequirements(0, now, req.route.Target, req.deadline)
 	req.offerNext(now)
 	require.Len(t, req.offers, 1)
 	req.handle(event{frame: &link.Frame{Granted: &link.Granted{Key: req.offers[0].key}}, key: req.offers[0].key.Number}, now)
@@ -142,7 +142,7 @@
 		req.withdrawAll()
 		all[0].noteRefusal(&link.Refused{Reason: link.ReasonBusy, After: time.Hour}, 0, now.Add(time.Hour))
 		req.route = &route.Route{Target: target, Attempts: 2}
-		req.requirements = overload.NewTerms(0, now, target, req.deadline)
+		req.requirements = overload.NewRequirements(0, now, target, req.deadline)
 		req.runs, req.deliveries, req.offersMade, req.gates, req.tried = 0, 0, 0, nil, nil
 		req.offerNext(now)
 		for at := req.nextWake(); ; at = req.nextWake() {
--- a/ingress/offer.go
+++ b/ingress/offer.go
@@ -76,7 +76,7 @@
 		Priority:      f.requirements.Priority(),
 		Retryable:     f.route.Retryable,
 		Force:         force,
-		Aim:           cmp.Or(f.requirements.Aim().Sub(now), -1),
+		Aim:           cmp.Or(f.requirements.TargetDeadline().Sub(now), -1),
 		Kind:          f.route.Kind(),
 		Claim:         f.attemptKind(),
 		Account:       f.accountName(),
--- a/ingress/outcome.go
+++ b/ingress/outcome.go
@@ -66,7 +66,7 @@
 
 // retryAfter returns the retry-after of a refusal, in whole milliseconds.
 func (f *inFlightRequest) retryAfter() time.Duration {
-	return f.requirements.ComeBack(f.minRetryAfter, f.forwarder.endpoints.draw()).Round(time.Millisecond)
+	return f.requirements.RetryAfter(f.minRetryAfter, f.forwarder.endpoints.draw()).Round(time.Millisecond)
 }
 
 // noteRetryAfter records when a gate that refused the request may be asked again.
--- a/ingress/repeat.go
+++ b/ingress/repeat.go
@@ -31,12 +31,12 @@
 )
 
 // attemptKind returns the budget's kind of the next attempt.
-func (f *inFlightRequest) attemptKind() budget.Claim {
+func (f *inFlightRequest) attemptKind() budget.AttemptKind {
 	switch {
 	case f.deliveries > 0 && f.repeatCause == causeHedge:
 		return budget.Hedge
 	case f.deliveries > 0:
-		return budget.Failure
+		return budget.FailureRetry
 	case f.inRepeat:
 		return budget.Charged
 	default:
@@ -143,7 +143,7 @@
 
 // waitUntil returns until when a request waits that no gate accepts.
 func (f *inFlightRequest) waitUntil() time.Time {
-	return f.requirements.KeptUntil(f.runs > 0, f.saturated())
+	return f.requirements.KeepUntil(f.runs > 0, f.saturated())
 }
 
 // nextRound schedules another round of offers to all gates after a pause.
--- a/ingress/replaygate_test.go
+++ b/ingress/replaygate_test.go
@@ -36,7 +36,7 @@
 
 func (p *replay) newGate(service string, s serviceLoad, i int, set switches.Set) *replayGate {
 	b := budget.New(replayRatio, float64(replaySlack*s.Gates), time.Time{})
-	b.NoteGates(s.Gates)
+	b.ObserveGates(s.Gates)
 	g := &replayGate{replay: p, service: service, centre: p.scenario.centres()[i%p.scenario.Centres], slots: s.Slots, index: i, runs: map[link.Key]*replayRun{}}
 	g.admission = gate.NewAdmission(service, b)
 	g.admission.SetSwitches(set)
@@ -172,7 +172,7 @@
 		return
 	}
 	name := r.offer.Attempt
-	p.parents[name] = overload.Parent{Priority: r.offer.Priority, Aim: began.Add(r.offer.Aim), Deadline: began.Add(r.offer.Left)}
+	p.parents[name] = overload.Parent{Priority: r.offer.Priority, TargetDeadline: began.Add(r.offer.Aim), Deadline: began.Add(r.offer.Left)}
 	node := p.nodes[slices.Index(p.scenario.centres(), g.centre)]
 	left := kind.CallTimes
 	for range kind.CallTimes {
--- a/ingress/unresponsive_test.go
+++ b/ingress/unresponsive_test.go
@@ -71,7 +71,7 @@
 	r := &route.Route{Target: 1500 * time.Millisecond, Attempts: 2}
 	req := &inFlightRequest{forwarder: f, route: r, service: "a", latency: &core.LatencyPercentile{}, content: &link.Content{}, arrived: now,
 		deadline: now.Add(5 * time.Second), events: make(chan event, eventBuffer), saturated: func() bool { return true }}
-	req.requirements = overload.NewTerms(0, now, r.Target, req.deadline)
+	req.requirements = overload.NewRequirements(0, now, r.Target, req.deadline)
 	return req
 }
 
--- a/link/message.go
+++ b/link/message.go
@@ -28,20 +28,20 @@
 
 // Offer requests a slot at a gate.
 type Offer struct {
-	Key           Key           `cbor:"1,keyasint"`
-	Attempt       string        `cbor:"2,keyasint"` // The caller's identifier of this attempt.
-	Service       string        `cbor:"3,keyasint"`
-	Upstream      string        `cbor:"4,keyasint,omitempty"` // ID of the intended upstream; "" for any.
-	CallerService string        `cbor:"5,keyasint"`
-	Left          time.Duration `cbor:"6,keyasint"` // Time until the deadline.
-	Priority      int           `cbor:"7,keyasint,omitempty"`
-	Retryable     bool          `cbor:"8,keyasint,omitempty"`
-	Force         bool          `cbor:"9,keyasint,omitempty"`  // Too few gates are open: on trial, accept it even if not retryable.
-	Content       *Content      `cbor:"10,keyasint,omitempty"` // If set, a free slot starts it without a commit.
-	Aim           time.Duration `cbor:"11,keyasint,omitempty"` // Time until the target deadline, negative once passed; 0 for the deadline.
-	Claim         budget.Claim  `cbor:"12,keyasint,omitempty"` // Kind of the attempt: first, charged, failure retry or hedge.
-	Kind          uint32        `cbor:"13,keyasint,omitempty"` // Groups requests with similar response times.
-	Account       string        `cbor:"14,keyasint,omitempty"` // The client account it is made for.
+	Key           Key                `cbor:"1,keyasint"`
+	Attempt       string             `cbor:"2,keyasint"` // The caller's identifier of this attempt.
+	Service       string             `cbor:"3,keyasint"`
+	Upstream      string             `cbor:"4,keyasint,omitempty"` // ID of the intended upstream; "" for any.
+	CallerService string             `cbor:"5,keyasint"`
+	Left          time.Duration      `cbor:"6,keyasint"` // Time until the deadline.
+	Priority      int                `cbor:"7,keyasint,omitempty"`
+	Retryable     bool               `cbor:"8,keyasint,omitempty"`
+	Force         bool               `cbor:"9,keyasint,omitempty"`  // Too few gates are open: on trial, accept it even if not retryable.
+	Content       *Content           `cbor:"10,keyasint,omitempty"` // If set, a free slot starts it without a commit.
+	Aim           time.Duration      `cbor:"11,keyasint,omitempty"` // Time until the target deadline, negative once passed; 0 for the deadline.
+	Claim         budget.AttemptKind `cbor:"12,keyasint,omitempty"` // Kind of the attempt: first, charged, failure retry or hedge.
+	Kind          uint32             `cbor:"13,keyasint,omitempty"` // Groups requests with similar response times.
+	Account       string             `cbor:"14,keyasint,omitempty"` // The client account it is made for.
 	// Record is the quarantine record of the request, if an upstream crashed while running it.
 	Record *quarantine.Record `cbor:"15,keyasint,omitempty"`
 }
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -73,8 +73,8 @@
 	}
 	if l.view.Fleet() != fleet {
 		l.changes.Add(1)
-		l.node.budget.NoteGates(l.view.Gates(l.node.self.Service))
-		l.node.budget.NotePlace(l.view.Place())
+		l.node.budget.ObserveGates(l.view.Gates(l.node.self.Service))
+		l.node.budget.SetRank(l.view.Place())
 	}
 	l.mu.Unlock()
 	if compare != nil {
--- a/overload/doc.go
+++ b/overload/doc.go
@@ -8,23 +8,25 @@
 //   - A service is saturated and calls itself or others. A request that an upstream makes
 //     while it works on another one is a nested request. If it is refused, the work on its
 //     parent is lost. So it gets its parent's priority and target deadline, and is kept until
-//     then unless other requests wait for the parent's slot (Terms.ForCall, Terms.KeptUntil).
+//     then unless other requests wait for the parent's slot (Requirements.ForNested,
+//     Requirements.KeepUntil).
 //   - A service has less capacity than is requested. A request that no gate takes is refused
 //     soon rather than at its deadline. Only nested requests, and requests that have already
-//     run, are kept for longer (Terms.KeptUntil).
+//     run, are kept for longer (Requirements.KeepUntil).
 //   - A burst fills the queues. In order of arrival, all requests would miss their target
 //     deadlines, although the capacity would be enough for some. So those that can no longer
-//     meet theirs go last (Place).
+//     meet theirs go last (QueueKey).
 //   - Many callers are refused at once. They get a retry-after by the wait that gates
-//     estimate, with random jitter, and shorter for higher priorities (Terms.ComeBack).
+//     estimate, with random jitter, and shorter for higher priorities
+//     (Requirements.RetryAfter).
 //
 // # Usage
 //
-//	t := overload.NewTerms(route.Priority, arrived, route.Target, deadline)
+//	r := overload.NewRequirements(route.Priority, arrived, route.Target, deadline)
 //	if parent, ok := parentOf(attempt); ok {
-//		t = t.ForCall(parent)
+//		r = r.ForNested(parent)
 //	}
-//	if !now.Before(t.KeptUntil(ran, crowded)) {
-//		retryAfter := t.ComeBack(shortestWait, rand.Float64()) // It is refused now.
+//	if !now.Before(r.KeepUntil(ran, saturated)) {
+//		retryAfter := r.RetryAfter(shortestWait, rand.Float64()) // It is refused now.
 //	}
 package overload
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -14,13 +14,13 @@
 // testData is a data file: requests with their requirements, queues with their order, and
 // refusals with their retry-after.
 type testData struct {
-	Terms      []termsCase `yaml:"terms"`
-	Queues     []queueCase `yaml:"queues"`
-	RetryAfter []retryCase `yaml:"come_back"`
+	Requirements []requirementsCase `yaml:"terms"`
+	Queues       []queueCase        `yaml:"queues"`
+	RetryAfter   []retryCase        `yaml:"come_back"`
 }
 
-// termsCase is a request, with times since its arrival, and its expected requirements.
-type termsCase struct {
+// requirementsCase is a request, with times since its arrival, and its expected requirements.
+type requirementsCase struct {
 	Why      string        `yaml:"why"`
 	Priority int           `yaml:"priority"`
 	Target   time.Duration `yaml:"target"`
@@ -68,17 +68,17 @@
 	return s
 }
 
-func TestTerms(t *testing.T) {
+func TestRequirements(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	for _, r := range readTestData(t).Terms {
-		terms := NewTerms(r.Priority, begin, r.Target, begin.Add(r.Deadline))
+	for _, r := range readTestData(t).Requirements {
+		requirements := NewRequirements(r.Priority, begin, r.Target, begin.Add(r.Deadline))
 		if p := r.Parent; p != nil {
-			terms = terms.ForCall(Parent{Priority: p.Priority, Aim: begin.Add(p.Aim), Deadline: begin.Add(p.Deadline)})
+			requirements = requirements.ForNested(Parent{Priority: p.Priority, TargetDeadline: begin.Add(p.Aim), Deadline: begin.Add(p.Deadline)})
 		}
-		assert.Equal(t, r.Want.Priority, terms.Priority(), r.Why)
-		assert.Equal(t, r.Want.Aim, terms.Aim().Sub(begin), r.Why)
-		assert.Equal(t, r.Want.Deadline, terms.Deadline().Sub(begin), r.Why)
-		assert.Equal(t, r.Want.Kept, terms.KeptUntil(r.Ran, r.Crowded).Sub(begin), r.Why)
+		assert.Equal(t, r.Want.Priority, requirements.Priority(), r.Why)
+		assert.Equal(t, r.Want.Aim, requirements.TargetDeadline().Sub(begin), r.Why)
+		assert.Equal(t, r.Want.Deadline, requirements.Deadline().Sub(begin), r.Why)
+		assert.Equal(t, r.Want.Kept, requirements.KeepUntil(r.Ran, r.Crowded).Sub(begin), r.Why)
 	}
 }
 
@@ -95,27 +95,27 @@
 func TestRetryAfter(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	for _, r := range readTestData(t).RetryAfter {
-		terms := NewTerms(r.Priority, begin, time.Second, begin.Add(time.Second))
+		requirements := NewRequirements(r.Priority, begin, time.Second, begin.Add(time.Second))
 		if r.Account > 0 {
-			terms = terms.ForAccount(r.Account)
-			assert.Equal(t, r.Account, terms.Priority(), r.Why)
+			requirements = requirements.ForAccount(r.Account)
+			assert.Equal(t, r.Account, requirements.Priority(), r.Why)
 		}
-		assert.Equal(t, r.Want, terms.ComeBack(r.Wait, r.Spread), r.Why)
+		assert.Equal(t, r.Want, requirements.RetryAfter(r.Wait, r.Spread), r.Why)
 	}
 }
 
 func TestQueueOrder(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	for _, q := range readTestData(t).Queues {
-		places := map[string]*Place{}
+		keys := map[string]*QueueKey{}
 		var names []string
 		for _, w := range q.Waiting {
-			p := NewPlace(begin.Add(w.Came), w.Priority, begin.Add(w.Aim), begin.Add(w.Deadline))
-			p.Note(begin.Add(q.At), q.Likely)
-			places[w.Name] = &p
+			k := NewQueueKey(begin.Add(w.Came), w.Priority, begin.Add(w.Aim), begin.Add(w.Deadline))
+			k.Update(begin.Add(q.At), q.Likely)
+			keys[w.Name] = &k
 			names = append(names, w.Name)
 		}
-		slices.SortStableFunc(names, func(a, b string) int { return places[a].Compare(places[b]) })
+		slices.SortStableFunc(names, func(a, b string) int { return keys[a].Compare(keys[b]) })
 		assert.Equal(t, q.Want, names, q.Why)
 	}
 }
--- /dev/null
+++ b/overload/requirements.go
@@ -0,0 +1,95 @@
+package overload
+
+import "time"
+
+const (
+	// keepShare is the part of the time until its target deadline for which a request that no
+	// gate takes is kept: after a refusal, its caller may find another node that can serve it.
+	keepShare = 0.2
+	// minKeepTime is the shortest time a request is kept: a few round trips.
+	minKeepTime = 40 * time.Millisecond
+	// keepShareAfterRun is the same for a request that has run and failed: its caller cannot be
+	// told that it did not run.
+	keepShareAfterRun = 1.0
+)
+
+// Parent holds the requirements of a request that an upstream works on, for its nested
+// requests.
+type Parent struct {
+	Priority       int
+	TargetDeadline time.Time
+	Deadline       time.Time
+	Repeat         bool // Its run repeats another.
+}
+
+// Requirements are what a request needs: its priority, its target deadline, after which an
+// answer loses most of its value, and its deadline.
+type Requirements struct {
+	priority  int
+	retryRank int // Steps of lower priority that lengthen its retry-after.
+	arrived   time.Time
+	target    time.Time
+	deadline  time.Time
+	nested    bool
+}
+
+// NewRequirements returns the requirements of a request by its arrival, its route's priority
+// (0 goes first) and target, and its deadline. Without a target, the target deadline is the
+// deadline.
+func NewRequirements(priority int, arrived time.Time, target time.Duration, deadline time.Time) Requirements {
+	if target <= 0 {
+		target = deadline.Sub(arrived)
+	}
+	return Requirements{priority: priority, retryRank: priority, arrived: arrived, target: arrived.Add(target), deadline: deadline}
+}
+
+// ForAccount returns the same requirements with the priority that the client account sets. The
+// retry-after still depends on the route alone: otherwise callers of a low-priority account
+// would retry too late for a short target.
+func (r Requirements) ForAccount(priority int) Requirements {
+	r.priority = priority
+	return r
+}
+
+// ForNested returns the same requirements for a nested request of the given parent. It gets the
+// higher priority, the later target deadline and the earlier deadline of the two. The target
+// deadline is at most the deadline.
+func (r Requirements) ForNested(p Parent) Requirements {
+	r.nested = true
+	r.priority = min(r.priority, p.Priority)
+	r.retryRank = min(r.retryRank, p.Priority)
+	if p.Deadline.Before(r.deadline) {
+		r.deadline = p.Deadline
+	}
+	if p.TargetDeadline.After(r.target) {
+		r.target = p.TargetDeadline
+	}
+	if r.target.After(r.deadline) {
+		r.target = r.deadline
+	}
+	return r
+}
+
+// Priority returns the priority; 0 goes first.
+func (r Requirements) Priority() int { return r.priority }
+
+// TargetDeadline returns the target deadline.
+func (r Requirements) TargetDeadline() time.Time { return r.target }
+
+// Deadline returns the time after which an answer is of no use.
+func (r Requirements) Deadline() time.Time { return r.deadline }
+
+// KeepUntil returns until when the request is kept while no gate takes it. The parameter ran
+// tells whether it has run, and saturated whether the upstream that makes a nested request has no
+// free slot. Refusing a nested request wastes the work on its parent, so it is kept until its
+// target deadline while that blocks no other requests.
+func (r Requirements) KeepUntil(ran, saturated bool) time.Time {
+	if r.nested && !saturated {
+		return r.target
+	}
+	share := keepShare
+	if ran {
+		share = keepShareAfterRun
+	}
+	return r.arrived.Add(max(time.Duration(share*float64(r.target.Sub(r.arrived))), minKeepTime))
+}
