--- a/gate/admission.go
+++ b/gate/admission.go
@@ -111,7 +111,7 @@
 
 // Status returns the status that is sent to other nodes.
 func (a *Admission) Status() link.Status {
-	return link.Status{Mode: a.Mode(), Upstream: a.upstream.ID, Slots: a.slots, Usual: a.meanResponseTime, Suspect: a.suspicion}
+	return link.Status{Mode: a.Mode(), Upstream: a.upstream.ID, Slots: a.slots, MeanResponseTime: a.meanResponseTime, Suspicion: a.suspicion}
 }
 
 // offered grants a slot, queues the offer, or refuses it if the wait in the queue would make
--- a/gate/attempt.go
+++ b/gate/attempt.go
@@ -127,7 +127,7 @@
 }
 
 // finish sends the result of an attempt. If the request is not retryable, it keeps the result
-// for an Ask.
+// for an OutcomeQuery.
 func (g *Gate) finish(ao *activeOffer, frame *link.Frame) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -136,7 +136,7 @@
 		g.ended[ao.offer.Key] = endedAttempt{frame: frame, expires: time.Now().Add(answerRetention)}
 	}
 	if frame.Answer != nil {
-		frame.Answer.Usual = g.admission.meanResponseTime
+		frame.Answer.MeanResponseTime = g.admission.meanResponseTime
 	}
 	ao.sink.Send(frame)
 }
--- a/gate/execute.go
+++ b/gate/execute.go
@@ -21,7 +21,7 @@
 	g.mu.Unlock()
 	if announced != nil {
 		g.log.Info("gate mode", zap.Stringer("mode", announced.Mode), zap.String("upstream", announced.Upstream),
-			zap.Float64("suspicion", announced.Suspect), zap.Duration("usual", announced.Usual), zap.String("cause", cause(m)))
+			zap.Float64("suspicion", announced.Suspicion), zap.Duration("usual", announced.MeanResponseTime), zap.String("cause", cause(m)))
 		g.announce()
 	}
 }
@@ -56,13 +56,13 @@
 		g.answer(c.Key, &link.Frame{Queued: &link.Queued{Key: c.Key}})
 	case Refuse:
 		g.count("gate_refused_" + c.Reason.String())
-		g.answer(c.Key, &link.Frame{Refused: &link.Refused{Key: c.Key, Reason: c.Reason, After: c.After}})
+		g.answer(c.Key, &link.Frame{Refused: &link.Refused{Key: c.Key, Reason: c.Reason, RetryAfter: c.After}})
 		delete(g.active, c.Key)
 	case Start:
 		g.start(c.Key)
 	case Warn:
 		g.count("gate_silent")
-		g.answer(c.Key, &link.Frame{Silent: &link.Silent{Key: c.Key}})
+		g.answer(c.Key, &link.Frame{Overdue: &link.Overdue{Key: c.Key}})
 	case Abort:
 		if ao := g.active[c.Key]; ao != nil && ao.cancel != nil {
 			ao.cancel()
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -18,8 +18,9 @@
 const (
 	// tickInterval is the resolution of all timeouts that depend on time alone.
 	tickInterval = 50 * time.Millisecond
-	// answerRetention is how long the result of a finished attempt is kept for an Ask after a
-	// broken link. It has to exceed how long an ingress waits for the link (its rejoinTime).
+	// answerRetention is how long the result of a finished attempt is kept for an OutcomeQuery
+	// after a broken link. It has to exceed how long an ingress waits for the link (its
+	// rejoinTime).
 	answerRetention = 6 * time.Second
 )
 
@@ -37,7 +38,7 @@
 	Observe(name string, d time.Duration)
 }
 
-// endedAttempt is the result of a finished attempt, kept for an Ask.
+// endedAttempt is the result of a finished attempt, kept for an OutcomeQuery.
 type endedAttempt struct {
 	frame   *link.Frame
 	expires time.Time
--- a/gate/model_test.go
+++ b/gate/model_test.go
@@ -37,8 +37,8 @@
 	faultNone fault = iota
 	// faultFailedAsRefused delivers an unknown outcome as "not run".
 	faultFailedAsRefused
-	// faultAskAsNeverSeen answers every Ask with "not run".
-	faultAskAsNeverSeen
+	// faultQueryAsNeverSeen answers every OutcomeQuery with "not run".
+	faultQueryAsNeverSeen
 	// faultSameProcess gives a restarted gate the process id of the previous one.
 	faultSameProcess
 )
@@ -79,9 +79,9 @@
 
 func (l *modelLink) Send(f *link.Frame) bool { return push(l.toGate, f, l.closed) }
 
-// Ponged returns the current time: a running process replies to pings at once, and a stopped
+// LastPong returns the current time: a running process replies to pings at once, and a stopped
 // one has no link.
-func (l *modelLink) Ponged() time.Time { return time.Now() }
+func (l *modelLink) LastPong() time.Time { return time.Now() }
 
 // gateSide is the gate's end of a link.
 type gateSide struct{ *modelLink }
@@ -247,8 +247,8 @@
 }
 
 func (g *modelGate) toGate(gate *Gate, l *modelLink, f *link.Frame) {
-	if f.Ask != nil && g.model.fault == faultAskAsNeverSeen {
-		gateSide{l}.Send(&link.Frame{Refused: &link.Refused{Key: f.Ask.Key, Reason: link.ReasonNeverSeen}})
+	if f.OutcomeQuery != nil && g.model.fault == faultQueryAsNeverSeen {
+		gateSide{l}.Send(&link.Frame{Refused: &link.Refused{Key: f.OutcomeQuery.Key, Reason: link.ReasonNeverSeen}})
 		return
 	}
 	gate.Handle(gateSide{l}, f)
@@ -328,7 +328,7 @@
 
 // TestModelFindsInjectedFaults checks that the model detects faults.
 func TestModelFindsInjectedFaults(t *testing.T) {
-	for _, p := range []fault{faultFailedAsRefused, faultAskAsNeverSeen, faultSameProcess} {
+	for _, p := range []fault{faultFailedAsRefused, faultQueryAsNeverSeen, faultSameProcess} {
 		found := 0
 		for seed := range uint64(modelSchedules) {
 			if len(play(t, seed, p)) > 0 {
--- a/gate/nested_test.go
+++ b/gate/nested_test.go
@@ -48,7 +48,7 @@
 				synctest.Wait()
 				for i := range uint64(3) {
 					began := time.Now()
-					g.Handle(discardSink{}, &link.Frame{Offer: &link.Offer{Key: link.Key{Number: i + 1}, Service: "a", Left: 5 * time.Second, Retryable: true, Content: &link.Content{}}})
+					g.Handle(discardSink{}, &link.Frame{Offer: &link.Offer{Key: link.Key{Number: i + 1}, Service: "a", TimeLeft: 5 * time.Second, Retryable: true, Content: &link.Content{}}})
 					time.Sleep(c.fails)
 					g.NoteFailure(began.Add(c.arrives))
 					time.Sleep(work)
--- a/gate/offer.go
+++ b/gate/offer.go
@@ -18,8 +18,8 @@
 		g.commit(now, from, f.Commit)
 	case f.Withdraw != nil:
 		g.withdraw(now, f.Withdraw.Key)
-	case f.Ask != nil:
-		g.ask(from, f.Ask.Key)
+	case f.OutcomeQuery != nil:
+		g.answerQuery(from, f.OutcomeQuery.Key)
 	}
 }
 
@@ -33,8 +33,8 @@
 	if o.Record != nil {
 		g.tracker.Merge(now, *o.Record)
 	}
-	ao := &activeOffer{offer: o, sink: from, deadline: now.Add(o.Left), repeat: o.Claim != budget.First}
-	ao.target = g.admission.AimOf(now, ao.deadline, o.Aim)
+	ao := &activeOffer{offer: o, sink: from, deadline: now.Add(o.TimeLeft), repeat: o.AttemptKind != budget.First}
+	ao.target = g.admission.AimOf(now, ao.deadline, o.Target)
 	g.active[o.Key] = ao
 	g.mu.Unlock()
 	if o.Content != nil && g.refuseQuarantined(now, ao) {
@@ -52,7 +52,7 @@
 		Force:     o.Force,
 		Ready:     o.Content != nil,
 		Kind:      o.Kind,
-		Claim:     o.Claim,
+		Claim:     o.AttemptKind,
 	})
 }
 
@@ -81,7 +81,7 @@
 	ao := g.active[m.Key]
 	if ao != nil {
 		ao.offer.Content = m.Content
-		ao.deadline = now.Add(m.Left)
+		ao.deadline = now.Add(m.TimeLeft)
 		ao.repeat = m.Repeat
 	}
 	g.mu.Unlock()
@@ -102,7 +102,7 @@
 		return false
 	}
 	g.count("gate_refused_" + link.ReasonQuarantined.String())
-	ao.sink.Send(&link.Frame{Refused: &link.Refused{Key: ao.offer.Key, Reason: link.ReasonQuarantined, After: left}})
+	ao.sink.Send(&link.Frame{Refused: &link.Refused{Key: ao.offer.Key, Reason: link.ReasonQuarantined, RetryAfter: left}})
 	g.withdraw(now, ao.offer.Key)
 	return true
 }
@@ -117,8 +117,8 @@
 	}
 }
 
-// ask answers the ingress about a committed offer whose link broke.
-func (g *Gate) ask(from Sink, k link.Key) {
+// answerQuery answers the ingress about a committed offer whose link broke.
+func (g *Gate) answerQuery(from Sink, k link.Key) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ao := g.active[k]; ao != nil && ao.cancel != nil {
@@ -132,7 +132,7 @@
 	}
 	if g.active[k] == nil && k.Number <= g.expiredUpTo[k.Origin] {
 		// It may have run and its result may have expired: the asking node may have been
-		// suspended, and its clock with it, so its Ask can come at any later time.
+		// suspended, and its clock with it, so its OutcomeQuery can come at any later time.
 		from.Send(&link.Frame{Failed: &link.Failed{Key: k, Detail: "its end is no longer kept"}})
 		return
 	}
--- a/gate/ask_test.go
+++ b/gate/outcomequery_test.go
@@ -39,13 +39,13 @@
 	require.Eventually(t, func() bool { return g.Status().Mode == link.ModeOpen }, 5*time.Second, time.Millisecond)
 	sent := make(sentFrames, 8)
 	ran := link.Key{Origin: 7, Number: 3}
-	g.Handle(sent, &link.Frame{Offer: &link.Offer{Key: ran, Service: "a", Left: time.Second}})
+	g.Handle(sent, &link.Frame{Offer: &link.Offer{Key: ran, Service: "a", TimeLeft: time.Second}})
 	require.NotNil(t, (<-sent).Granted)
-	g.Handle(sent, &link.Frame{Commit: &link.Commit{Key: ran, Left: time.Second, Content: &link.Content{}}})
+	g.Handle(sent, &link.Frame{Commit: &link.Commit{Key: ran, TimeLeft: time.Second, Content: &link.Content{}}})
 	require.NotNil(t, (<-sent).Answer)
 
 	ask := func(k link.Key) *link.Frame {
-		g.Handle(sent, &link.Frame{Ask: &link.Ask{Key: k}})
+		g.Handle(sent, &link.Frame{OutcomeQuery: &link.OutcomeQuery{Key: k}})
 		return <-sent
 	}
 	assert.NotNil(t, ask(ran).Answer, "while the result is kept")
--- a/ingress/choose.go
+++ b/ingress/choose.go
@@ -133,7 +133,7 @@
 func (t *Targets) minOpen(live int) float64 { return *t.floorShare.Load() * float64(live) / 2 }
 
 func leastSuspect(list []*Target) *Target {
-	return slices.MinFunc(list, func(a, b *Target) int { return cmp.Compare(a.Status().Suspect, b.Status().Suspect) })
+	return slices.MinFunc(list, func(a, b *Target) int { return cmp.Compare(a.Status().Suspicion, b.Status().Suspicion) })
 }
 
 // best returns the better of two random open gates, preferring the own data centre.
@@ -199,5 +199,5 @@
 		mean = max(median, time.Millisecond)
 	}
 	busy := 1 + float64(t.inFlight.Load())/float64(max(s.Slots, 1))
-	return busy * float64(mean) * (1 + s.Suspect)
+	return busy * float64(mean) * (1 + s.Suspicion)
 }
--- a/ingress/deliver.go
+++ b/ingress/deliver.go
@@ -43,8 +43,8 @@
 		return f.Answer.Key, true
 	case f.Failed != nil:
 		return f.Failed.Key, true
-	case f.Silent != nil:
-		return f.Silent.Key, true
+	case f.Overdue != nil:
+		return f.Overdue.Key, true
 	default:
 		return link.Key{}, false
 	}
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -136,12 +136,12 @@
 	case e.frame.Refused != nil:
 		f.lastRefusal = e.frame.Refused.Reason
 		f.noteBudget(now)
-		f.noteRetryAfter(e.frame.Refused.After)
+		f.noteRetryAfter(e.frame.Refused.RetryAfter)
 		o.endpoint.noteRefusal(e.frame.Refused, f.requirements.Priority(), now)
 		return f.refused(o, e.frame.Refused, now)
 	case e.frame.Answer != nil:
 		return f.answered(o, e.frame.Answer, now)
-	case e.frame.Silent != nil:
+	case e.frame.Overdue != nil:
 		f.upstreamUnresponsive(o, now)
 	case e.frame.Failed != nil:
 		return f.failed(o, e.frame.Failed, now)
@@ -175,7 +175,7 @@
 	f.noteRun(o, now)
 	f.withdrawOthers()
 	left := f.deadline.Sub(now)
-	if !o.endpoint.send(&link.Frame{Commit: &link.Commit{Key: o.key, Left: left, Content: f.content, Repeat: repeat}}) {
+	if !o.endpoint.send(&link.Frame{Commit: &link.Commit{Key: o.key, TimeLeft: left, Content: f.content, Repeat: repeat}}) {
 		f.end(f.linkBroken(o, now))
 	}
 }
--- a/ingress/inflight_test.go
+++ b/ingress/inflight_test.go
@@ -24,8 +24,8 @@
 	return true
 }
 
-// Ponged returns the zero time: no ping is replied to.
-func (s *sentFrames) Ponged() time.Time { return time.Time{} }
+// LastPong returns the zero time: no ping is replied to.
+func (s *sentFrames) LastPong() time.Time { return time.Time{} }
 
 type noCounts struct{}
 
@@ -115,7 +115,7 @@
 type brokenSink struct{}
 
 func (brokenSink) Send(*link.Frame) bool { return false }
-func (brokenSink) Ponged() time.Time     { return time.Time{} }
+func (brokenSink) LastPong() time.Time   { return time.Time{} }
 
 // TestFailedSendEndsAtOnce checks that a retryable request without attempts left is
 // answered at once if the link breaks while the commit is sent.
@@ -140,7 +140,7 @@
 		now := time.Unix(1000, 0)
 		req, all, _ := orderInFlight(t, now, 1)
 		req.withdrawAll()
-		all[0].noteRefusal(&link.Refused{Reason: link.ReasonBusy, After: time.Hour}, 0, now.Add(time.Hour))
+		all[0].noteRefusal(&link.Refused{Reason: link.ReasonBusy, RetryAfter: time.Hour}, 0, now.Add(time.Hour))
 		req.route = &route.Route{Target: target, Attempts: 2}
 		req.requirements = overload.NewRequirements(0, now, target, req.deadline)
 		req.runs, req.deliveries, req.offersMade, req.gates, req.tried = 0, 0, 0, nil, nil
--- a/ingress/linkloss.go
+++ b/ingress/linkloss.go
@@ -52,6 +52,6 @@
 	if l.process != o.process {
 		return f.failed(o, &link.Failed{Detail: o.endpoint.member.Name + " has been restarted"}, now)
 	}
-	l.sink.Send(&link.Frame{Ask: &link.Ask{Key: o.key}})
+	l.sink.Send(&link.Frame{OutcomeQuery: &link.OutcomeQuery{Key: o.key}})
 	return nil
 }
--- a/ingress/outcome.go
+++ b/ingress/outcome.go
@@ -30,7 +30,7 @@
 // answered returns the answer, unless it is an error and the request may be repeated.
 func (f *inFlightRequest) answered(o *offer, a *link.Answer, now time.Time) *Response {
 	f.removeOffer(o)
-	o.endpoint.responseTime.note(a.Usual, now)
+	o.endpoint.responseTime.note(a.MeanResponseTime, now)
 	r := &Response{Status: a.Status, Header: a.Header, Body: a.Body}
 	if a.Status < http.StatusInternalServerError {
 		f.latency.Add(now.Sub(o.started))
--- a/ingress/quarantine.go
+++ b/ingress/quarantine.go
@@ -51,7 +51,7 @@
 // refusedQuarantined ends a request that a gate refused as quarantined. No other gate is
 // asked.
 func (f *inFlightRequest) refusedQuarantined(m *link.Refused, now time.Time) *Response {
-	f.quarantineLeft = m.After
+	f.quarantineLeft = m.RetryAfter
 	f.withdrawOthers()
 	return f.unlessBusy(f.final(now))
 }
--- a/ingress/replaygate_test.go
+++ b/ingress/replaygate_test.go
@@ -72,8 +72,8 @@
 	return true
 }
 
-// Ponged returns the current time: every node of a replay responds.
-func (w replaySink) Ponged() time.Time { return w.node.replay.now }
+// LastPong returns the current time: every node of a replay responds.
+func (w replaySink) LastPong() time.Time { return w.node.replay.now }
 
 func (w replaySink) delay() time.Duration {
 	if w.node.centre == w.gate.centre {
@@ -89,9 +89,9 @@
 	case f.Offer != nil:
 		o := f.Offer
 		g.runs[o.Key] = &replayRun{node: from, offer: o}
-		deadline := now.Add(o.Left)
-		g.update(gate.Offered{At: now, Key: o.Key, Service: o.Service, Upstream: o.Upstream, Deadline: deadline, Aim: g.admission.AimOf(now, deadline, o.Aim),
-			Priority: o.Priority, Retryable: o.Retryable, Force: o.Force, Ready: o.Content != nil, Kind: o.Kind, Claim: o.Claim})
+		deadline := now.Add(o.TimeLeft)
+		g.update(gate.Offered{At: now, Key: o.Key, Service: o.Service, Upstream: o.Upstream, Deadline: deadline, Aim: g.admission.AimOf(now, deadline, o.Target),
+			Priority: o.Priority, Retryable: o.Retryable, Force: o.Force, Ready: o.Content != nil, Kind: o.Kind, Claim: o.AttemptKind})
 	case f.Commit != nil:
 		g.update(gate.Committed{At: now, Key: f.Commit.Key})
 	case f.Withdraw != nil:
@@ -108,9 +108,9 @@
 		case gate.Queue:
 			g.send(c.Key, &link.Frame{Queued: &link.Queued{Key: c.Key}})
 		case gate.Refuse:
-			g.send(c.Key, &link.Frame{Refused: &link.Refused{Key: c.Key, Reason: c.Reason, After: c.After}})
+			g.send(c.Key, &link.Frame{Refused: &link.Refused{Key: c.Key, Reason: c.Reason, RetryAfter: c.After}})
 		case gate.Warn:
-			g.send(c.Key, &link.Frame{Silent: &link.Silent{Key: c.Key}})
+			g.send(c.Key, &link.Frame{Overdue: &link.Overdue{Key: c.Key}})
 		case gate.Start:
 			g.start(c.Key)
 		case gate.Abort:
@@ -172,7 +172,7 @@
 		return
 	}
 	name := r.offer.Attempt
-	p.parents[name] = overload.Parent{Priority: r.offer.Priority, TargetDeadline: began.Add(r.offer.Aim), Deadline: began.Add(r.offer.Left)}
+	p.parents[name] = overload.Parent{Priority: r.offer.Priority, TargetDeadline: began.Add(r.offer.Target), Deadline: began.Add(r.offer.TimeLeft)}
 	node := p.nodes[slices.Index(p.scenario.centres(), g.centre)]
 	left := kind.CallTimes
 	for range kind.CallTimes {
@@ -201,9 +201,9 @@
 	r.over = true
 	switch o {
 	case gate.Good:
-		g.send(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusOK, Usual: g.admission.Status().Usual}})
+		g.send(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusOK, MeanResponseTime: g.admission.Status().MeanResponseTime}})
 	case gate.CallFailed:
-		g.send(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusInternalServerError, Usual: g.admission.Status().Usual}})
+		g.send(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusInternalServerError, MeanResponseTime: g.admission.Status().MeanResponseTime}})
 	case gate.Shed:
 		g.send(k, &link.Frame{Refused: &link.Refused{Key: k, Reason: link.ReasonShed}})
 	default:
--- a/ingress/target.go
+++ b/ingress/target.go
@@ -18,8 +18,8 @@
 // Sink sends messages to a gate.
 type Sink interface {
 	Send(f *link.Frame) bool
-	// Ponged returns when the gate last replied to a ping.
-	Ponged() time.Time
+	// LastPong returns when the gate last replied to a ping.
+	LastPong() time.Time
 }
 
 // gateLink is a live link to a gate's process.
@@ -44,7 +44,7 @@
 
 // noteRefusal records why the gate refused an offer of a priority.
 func (t *Target) noteRefusal(m *link.Refused, priority int, now time.Time) {
-	at := now.Add(min(m.After, maxRefusalTime)).UnixNano()
+	at := now.Add(min(m.RetryAfter, maxRefusalTime)).UnixNano()
 	switch m.Reason {
 	case link.ReasonTrial:
 		t.noTrialUntil.Store(at)
@@ -75,7 +75,7 @@
 // SetStatus records a status reported by the gate.
 func (t *Target) SetStatus(s link.Status, now time.Time) {
 	t.status.Store(&s)
-	t.responseTime.note(s.Usual, now)
+	t.responseTime.note(s.MeanResponseTime, now)
 }
 
 // Reachable reports whether there is a link to the gate.
--- a/ingress/target_test.go
+++ b/ingress/target_test.go
@@ -12,7 +12,7 @@
 type nopSink struct{}
 
 func (nopSink) Send(*link.Frame) bool { return true }
-func (nopSink) Ponged() time.Time     { return time.Time{} }
+func (nopSink) LastPong() time.Time   { return time.Time{} }
 
 // gates returns reachable endpoints of one service, one per letter: o for open, t for on
 // trial, c for closed, in the own data centre if it is a capital.
@@ -32,7 +32,7 @@
 			mode = link.ModeClosed
 		}
 		n := NewTarget(link.Member{Service: "a", DataCentre: dataCentre})
-		n.SetStatus(link.Status{Mode: mode, Slots: 4, Usual: 100 * time.Millisecond}, time.Unix(1000, 0))
+		n.SetStatus(link.Status{Mode: mode, Slots: 4, MeanResponseTime: 100 * time.Millisecond}, time.Unix(1000, 0))
 		n.link.Store(&gateLink{sink: nopSink{}})
 		targets.Add(n)
 		all = append(all, n)
@@ -88,7 +88,7 @@
 
 func TestSlowGateIsLastResort(t *testing.T) {
 	targets, all := gates("OOO")
-	all[0].SetStatus(link.Status{Mode: link.ModeOpen, Slots: 4, Usual: time.Second}, time.Unix(1000, 0))
+	all[0].SetStatus(link.Status{Mode: link.ModeOpen, Slots: 4, MeanResponseTime: time.Second}, time.Unix(1000, 0))
 	counts := chosen(targets, all, criteria{})
 	assert.Less(t, counts[0], 100)
 	assert.Positive(t, counts[0], "it is explored now and then")
@@ -115,7 +115,7 @@
 func TestOldResponseTimeExpires(t *testing.T) {
 	targets, all := gates("OOO")
 	now := time.Unix(1000, 0)
-	all[0].SetStatus(link.Status{Mode: link.ModeOpen, Slots: 4, Usual: time.Second}, now.Add(-responseTimeTTL))
+	all[0].SetStatus(link.Status{Mode: link.ModeOpen, Slots: 4, MeanResponseTime: time.Second}, now.Add(-responseTimeTTL))
 	counts := chosen(targets, all, criteria{})
 	assert.InDelta(t, 4000/3, counts[0], 300)
 }
--- a/ingress/unresponsive.go
+++ b/ingress/unresponsive.go
@@ -57,7 +57,7 @@
 		return time.Time{}
 	}
 	at := time.Unix(0, pinged)
-	if !l.sink.Ponged().Before(at) {
+	if !l.sink.LastPong().Before(at) {
 		return time.Time{}
 	}
 	return at
--- a/ingress/unresponsive_test.go
+++ b/ingress/unresponsive_test.go
@@ -22,8 +22,8 @@
 	ponged time.Time
 }
 
-// Ponged returns when a ping was last replied to.
-func (s *pongSink) Ponged() time.Time { return s.ponged }
+// LastPong returns when a ping was last replied to.
+func (s *pongSink) LastPong() time.Time { return s.ponged }
 
 // pings counts the pings that were sent to the gate.
 func (s *pongSink) pings() int {
@@ -83,7 +83,7 @@
 	for at := now; at.Before(req.deadline); at = req.nextWake() {
 		for _, o := range append([]*offer(nil), req.offers...) {
 			if o.endpoint == full {
-				m := &link.Refused{Key: o.key, Reason: link.ReasonBusy, After: 20 * time.Millisecond}
+				m := &link.Refused{Key: o.key, Reason: link.ReasonBusy, RetryAfter: 20 * time.Millisecond}
 				if r := req.handle(event{frame: &link.Frame{Refused: m}, key: o.key.Number}, at); r != nil {
 					return at.Sub(now)
 				}
--- a/link/link.go
+++ b/link/link.go
@@ -47,13 +47,13 @@
 
 // Link is one connection to another node.
 type Link struct {
-	conn      net.Conn
-	outbox    *outbox
-	closed    chan struct{}
-	closeOnce sync.Once
-	received  atomic.Int64 // UnixNano of the last message.
-	ponged    atomic.Int64 // UnixNano of the last ping reply.
-	meter     atomic.Pointer[Meter]
+	conn         net.Conn
+	outbox       *outbox
+	closed       chan struct{}
+	closeOnce    sync.Once
+	lastReceived atomic.Int64 // UnixNano of the last message.
+	lastPong     atomic.Int64 // UnixNano of the last ping reply.
+	meter        atomic.Pointer[Meter]
 }
 
 // Dial connects to a node from the given local IP address.
@@ -77,7 +77,7 @@
 // New returns a link over an established connection.
 func New(conn net.Conn) *Link {
 	l := &Link{conn: conn, outbox: newOutbox(), closed: make(chan struct{})}
-	l.received.Store(time.Now().UnixNano())
+	l.lastReceived.Store(time.Now().UnixNano())
 	return l
 }
 
@@ -96,7 +96,7 @@
 	return true
 }
 
-// Ping requests a ping reply from the peer; Ponged returns when the last one arrived.
+// Ping requests a ping reply from the peer; LastPong returns when the last one arrived.
 func (l *Link) Ping() { l.Send(&Frame{Ping: &Ping{}}) }
 
 // Close closes the link and its connection. It may be called more than closeOnce.
@@ -110,15 +110,15 @@
 // Closed returns a channel that is closed when the link is.
 func (l *Link) Closed() <-chan struct{} { return l.closed }
 
-// Received returns when the last message arrived.
-func (l *Link) Received() time.Time { return time.Unix(0, l.received.Load()) }
+// LastReceived returns when the last message arrived.
+func (l *Link) LastReceived() time.Time { return time.Unix(0, l.lastReceived.Load()) }
 
-// Ponged returns when the last ping reply arrived. Unlike any other message, a reply
+// LastPong returns when the last ping reply arrived. Unlike any other message, a reply
 // shows that messages reach the peer too.
-func (l *Link) Ponged() time.Time { return time.Unix(0, l.ponged.Load()) }
+func (l *Link) LastPong() time.Time { return time.Unix(0, l.lastPong.Load()) }
 
-// Remote returns the peer's address.
-func (l *Link) Remote() string { return l.conn.RemoteAddr().String() }
+// RemoteAddr returns the peer's address.
+func (l *Link) RemoteAddr() string { return l.conn.RemoteAddr().String() }
 
 // Run writes queued messages and passes received ones to handle until the link
 // fails or is closed. It returns the cause.
@@ -131,13 +131,13 @@
 		if err != nil {
 			return err
 		}
-		l.received.Store(time.Now().UnixNano())
+		l.lastReceived.Store(time.Now().UnixNano())
 		if f.Ping == nil {
 			handle(f)
 			continue
 		}
 		if f.Ping.Reply {
-			l.ponged.Store(time.Now().UnixNano())
+			l.lastPong.Store(time.Now().UnixNano())
 			continue
 		}
 		l.Send(&Frame{Ping: &Ping{Reply: true}})
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -34,10 +34,10 @@
 	a, b := pair(t)
 	sent := []*Frame{
 		{Hello: &Hello{Member: Member{Name: "n", Service: "s"}, Process: 7, Version: 9}},
-		{Offer: &Offer{Key: Key{1, 2}, Attempt: "x", Left: time.Second, Content: &Content{Method: "GET", Body: []byte{0, 255}}}},
+		{Offer: &Offer{Key: Key{1, 2}, Attempt: "x", TimeLeft: time.Second, Content: &Content{Method: "GET", Body: []byte{0, 255}}}},
 		{Commit: &Commit{Key: Key{1, 2}, Content: &Content{Header: map[string][]string{"A": {"b", "c"}}}}},
 		{Answer: &Answer{Key: Key{1, 2}, Status: 200, Body: bytes.Repeat([]byte("x"), 1<<20)}},
-		{Refused: &Refused{Key: Key{1, 2}, Reason: ReasonTrial, After: time.Second}},
+		{Refused: &Refused{Key: Key{1, 2}, Reason: ReasonTrial, RetryAfter: time.Second}},
 		{Configuration: &Configuration{Version: 3, Packed: []byte("{}")}},
 	}
 	got := make(chan *Frame, len(sent))
@@ -50,7 +50,7 @@
 	for _, f := range sent {
 		assert.Equal(t, f, <-got)
 	}
-	require.Eventually(t, func() bool { return time.Since(a.Received()) < time.Minute }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return time.Since(a.LastReceived()) < time.Minute }, 5*time.Second, time.Millisecond)
 }
 
 // TestClosed checks that closing one end closes the other and makes Send fail on both.
--- a/link/message.go
+++ b/link/message.go
@@ -33,13 +33,13 @@
 	Service       string             `cbor:"3,keyasint"`
 	Upstream      string             `cbor:"4,keyasint,omitempty"` // ID of the intended upstream; "" for any.
 	CallerService string             `cbor:"5,keyasint"`
-	Left          time.Duration      `cbor:"6,keyasint"` // Time until the deadline.
+	TimeLeft      time.Duration      `cbor:"6,keyasint"` // Time until the deadline.
 	Priority      int                `cbor:"7,keyasint,omitempty"`
 	Retryable     bool               `cbor:"8,keyasint,omitempty"`
 	Force         bool               `cbor:"9,keyasint,omitempty"`  // Too few gates are open: on trial, accept it even if not retryable.
 	Content       *Content           `cbor:"10,keyasint,omitempty"` // If set, a free slot starts it without a commit.
-	Aim           time.Duration      `cbor:"11,keyasint,omitempty"` // Time until the target deadline, negative once passed; 0 for the deadline.
-	Claim         budget.AttemptKind `cbor:"12,keyasint,omitempty"` // Kind of the attempt: first, charged, failure retry or hedge.
+	Target        time.Duration      `cbor:"11,keyasint,omitempty"` // Time until the target deadline, negative once passed; 0 for the deadline.
+	AttemptKind   budget.AttemptKind `cbor:"12,keyasint,omitempty"` // First, charged, failure retry or hedge.
 	Kind          uint32             `cbor:"13,keyasint,omitempty"` // Groups requests with similar response times.
 	Account       string             `cbor:"14,keyasint,omitempty"` // The client account it is made for.
 	// Record is the quarantine record of the request, if an upstream crashed while running it.
@@ -88,17 +88,17 @@
 
 // Refused reports that the offer has not run and never will.
 type Refused struct {
-	Key    Key           `cbor:"1,keyasint"`
-	Reason Reason        `cbor:"2,keyasint"`
-	After  time.Duration `cbor:"3,keyasint,omitempty"` // When to retry, 0 for no advice.
+	Key        Key           `cbor:"1,keyasint"`
+	Reason     Reason        `cbor:"2,keyasint"`
+	RetryAfter time.Duration `cbor:"3,keyasint,omitempty"` // When to retry, 0 for no advice.
 }
 
 // Commit starts a granted offer.
 type Commit struct {
-	Key     Key           `cbor:"1,keyasint"`
-	Left    time.Duration `cbor:"2,keyasint"`
-	Content *Content      `cbor:"3,keyasint"`
-	Repeat  bool          `cbor:"4,keyasint,omitempty"` // This run is a retry or hedge of another attempt.
+	Key      Key           `cbor:"1,keyasint"`
+	TimeLeft time.Duration `cbor:"2,keyasint"`
+	Content  *Content      `cbor:"3,keyasint"`
+	Repeat   bool          `cbor:"4,keyasint,omitempty"` // This run is a retry or hedge of another attempt.
 }
 
 // Withdraw cancels an offer. A request that already runs is aborted if it is retryable.
@@ -108,11 +108,11 @@
 
 // Answer carries an upstream's complete response.
 type Answer struct {
-	Key    Key                 `cbor:"1,keyasint"`
-	Status int                 `cbor:"2,keyasint"`
-	Header map[string][]string `cbor:"3,keyasint"`
-	Body   []byte              `cbor:"4,keyasint,omitempty"`
-	Usual  time.Duration       `cbor:"5,keyasint,omitempty"` // Mean response time at the gate.
+	Key              Key                 `cbor:"1,keyasint"`
+	Status           int                 `cbor:"2,keyasint"`
+	Header           map[string][]string `cbor:"3,keyasint"`
+	Body             []byte              `cbor:"4,keyasint,omitempty"`
+	MeanResponseTime time.Duration       `cbor:"5,keyasint,omitempty"` // At the gate.
 }
 
 // Failed reports that the request may have run and that no response was received.
@@ -123,14 +123,14 @@
 	Record *quarantine.Record `cbor:"3,keyasint,omitempty"`
 }
 
-// Silent reports that a started attempt takes far longer than responses of its kind
+// Overdue reports that a started attempt takes far longer than responses of its kind
 // usually do, so that a retry elsewhere is better than waiting.
-type Silent struct {
+type Overdue struct {
 	Key Key `cbor:"1,keyasint"`
 }
 
-// Ask requests the outcome of a committed offer after a link broke.
-type Ask struct {
+// OutcomeQuery requests the outcome of a committed offer after a link broke.
+type OutcomeQuery struct {
 	Key Key `cbor:"1,keyasint"`
 }
 
@@ -156,11 +156,11 @@
 
 // Status is what a gate reports about itself.
 type Status struct {
-	Mode     Mode          `cbor:"1,keyasint"`
-	Upstream string        `cbor:"2,keyasint,omitempty"`
-	Slots    int           `cbor:"3,keyasint,omitempty"`
-	Usual    time.Duration `cbor:"4,keyasint,omitempty"` // Mean response time.
-	Suspect  float64       `cbor:"5,keyasint,omitempty"` // Evidence against its upstream, used to rank gates.
+	Mode             Mode          `cbor:"1,keyasint"`
+	Upstream         string        `cbor:"2,keyasint,omitempty"`
+	Slots            int           `cbor:"3,keyasint,omitempty"`
+	MeanResponseTime time.Duration `cbor:"4,keyasint,omitempty"`
+	Suspicion        float64       `cbor:"5,keyasint,omitempty"` // Evidence against its upstream, used to rank gates.
 }
 
 // Hello is the first message of each side of a link.
@@ -170,16 +170,16 @@
 	Version uint64 `cbor:"3,keyasint"` // Version of the sender's configuration; 0 for none.
 	Status  Status `cbor:"4,keyasint"`
 	// Operator is the operator state that the sender has; nil for none.
-	Operator *Operator `cbor:"5,keyasint,omitempty"`
-	// Born is the version of the sender's own membership record.
-	Born uint64 `cbor:"6,keyasint,omitempty"`
+	Operator *OperatorState `cbor:"5,keyasint,omitempty"`
+	// RecordVersion is the version of the sender's own membership record.
+	RecordVersion uint64 `cbor:"6,keyasint,omitempty"`
 }
 
 // Record returns the sender's own membership record.
-func (h *Hello) Record() Record { return Record{Member: h.Member, Version: h.Born} }
+func (h *Hello) Record() Record { return Record{Member: h.Member, Version: h.RecordVersion} }
 
-// Operator is the operator state beside the configuration, as of a store revision.
-type Operator struct {
+// OperatorState is what operators set beside the configuration, as of a store revision.
+type OperatorState struct {
 	Era       uint64   `cbor:"1,keyasint,omitempty"`
 	Revision  uint64   `cbor:"2,keyasint"`
 	Evacuated []string `cbor:"3,keyasint,omitempty"` // Data centres whose upstreams get no requests.
@@ -205,20 +205,20 @@
 	Reply bool `cbor:"1,keyasint,omitempty"`
 }
 
-// LimitAsk requests a token from a client account's home node.
-type LimitAsk struct {
+// LimitRequest requests a token from a client account's home node.
+type LimitRequest struct {
 	Number  uint64 `cbor:"1,keyasint"` // The sender's number for the request.
 	Account string `cbor:"2,keyasint"`
 	Spent   int    `cbor:"3,keyasint,omitempty"` // Tokens spent without a home node and not reported yet.
 	Hops    int    `cbor:"4,keyasint,omitempty"` // How many nodes have forwarded it.
 }
 
-// LimitAnswer is a home node's reply to LimitAsk.
-type LimitAnswer struct {
-	Number  uint64        `cbor:"1,keyasint"`
-	Granted bool          `cbor:"2,keyasint,omitempty"`
-	Unknown bool          `cbor:"3,keyasint,omitempty"` // The sender does not reach the home or does not have the account.
-	After   time.Duration `cbor:"4,keyasint,omitempty"` // When to retry, if not granted.
+// LimitReply is a home node's reply to LimitRequest.
+type LimitReply struct {
+	Number     uint64        `cbor:"1,keyasint"`
+	Granted    bool          `cbor:"2,keyasint,omitempty"`
+	Unknown    bool          `cbor:"3,keyasint,omitempty"` // The sender does not reach the home or does not have the account.
+	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"` // When to retry, if not granted.
 }
 
 // LimitReport reports tokens to a home node that were spent without it or are returned.
@@ -232,44 +232,44 @@
 	Address string `cbor:"1,keyasint"`
 }
 
-// LimitReached is the reply to LimitProbe: whether the sender can reach the node.
-type LimitReached struct {
+// LimitProbeReply is the reply to LimitProbe: whether the sender can reach the node.
+type LimitProbeReply struct {
 	Address string `cbor:"1,keyasint"`
 	Reached bool   `cbor:"2,keyasint,omitempty"`
 }
 
-// LimitClaim reports that the sender is the home node of an account for which the
+// HomeNotice reports that the sender is the home node of an account for which the
 // receiver may have acted as home.
-type LimitClaim struct {
+type HomeNotice struct {
 	Record Record `cbor:"1,keyasint"`
 }
 
 // Frame is one message; exactly one field is set.
 type Frame struct {
-	Hello         *Hello         `cbor:"1,keyasint,omitempty"`
-	Status        *Status        `cbor:"2,keyasint,omitempty"`
-	Offer         *Offer         `cbor:"3,keyasint,omitempty"`
-	Granted       *Granted       `cbor:"4,keyasint,omitempty"`
-	Queued        *Queued        `cbor:"5,keyasint,omitempty"`
-	Refused       *Refused       `cbor:"6,keyasint,omitempty"`
-	Commit        *Commit        `cbor:"7,keyasint,omitempty"`
-	Withdraw      *Withdraw      `cbor:"8,keyasint,omitempty"`
-	Answer        *Answer        `cbor:"9,keyasint,omitempty"`
-	Failed        *Failed        `cbor:"10,keyasint,omitempty"`
-	Ask           *Ask           `cbor:"11,keyasint,omitempty"`
-	Configuration *Configuration `cbor:"12,keyasint,omitempty"`
-	Ping          *Ping          `cbor:"13,keyasint,omitempty"`
-	Records       []Record       `cbor:"14,keyasint,omitempty"` // Membership records.
-	Silent        *Silent        `cbor:"15,keyasint,omitempty"`
-	LimitAsk      *LimitAsk      `cbor:"16,keyasint,omitempty"`
-	LimitAnswer   *LimitAnswer   `cbor:"17,keyasint,omitempty"`
-	LimitReports  []LimitReport  `cbor:"18,keyasint,omitempty"`
-	LimitProbe    *LimitProbe    `cbor:"19,keyasint,omitempty"`
-	LimitReached  *LimitReached  `cbor:"20,keyasint,omitempty"`
-	LimitClaim    *LimitClaim    `cbor:"21,keyasint,omitempty"`
+	Hello           *Hello           `cbor:"1,keyasint,omitempty"`
+	Status          *Status          `cbor:"2,keyasint,omitempty"`
+	Offer           *Offer           `cbor:"3,keyasint,omitempty"`
+	Granted         *Granted         `cbor:"4,keyasint,omitempty"`
+	Queued          *Queued          `cbor:"5,keyasint,omitempty"`
+	Refused         *Refused         `cbor:"6,keyasint,omitempty"`
+	Commit          *Commit          `cbor:"7,keyasint,omitempty"`
+	Withdraw        *Withdraw        `cbor:"8,keyasint,omitempty"`
+	Answer          *Answer          `cbor:"9,keyasint,omitempty"`
+	Failed          *Failed          `cbor:"10,keyasint,omitempty"`
+	OutcomeQuery    *OutcomeQuery    `cbor:"11,keyasint,omitempty"`
+	Configuration   *Configuration   `cbor:"12,keyasint,omitempty"`
+	Ping            *Ping            `cbor:"13,keyasint,omitempty"`
+	Records         []Record         `cbor:"14,keyasint,omitempty"` // Membership records.
+	Overdue         *Overdue         `cbor:"15,keyasint,omitempty"`
+	LimitRequest    *LimitRequest    `cbor:"16,keyasint,omitempty"`
+	LimitReply      *LimitReply      `cbor:"17,keyasint,omitempty"`
+	LimitReports    []LimitReport    `cbor:"18,keyasint,omitempty"`
+	LimitProbe      *LimitProbe      `cbor:"19,keyasint,omitempty"`
+	LimitProbeReply *LimitProbeReply `cbor:"20,keyasint,omitempty"`
+	HomeNotice      *HomeNotice      `cbor:"21,keyasint,omitempty"`
 	// Quarantine holds records of requests that crash upstreams.
 	Quarantine []quarantine.Record `cbor:"22,keyasint,omitempty"`
-	Operator   *Operator           `cbor:"23,keyasint,omitempty"`
+	Operator   *OperatorState      `cbor:"23,keyasint,omitempty"`
 	Digest     *Digest             `cbor:"24,keyasint,omitempty"`
 	// Packed holds many membership records, compressed.
 	Packed []byte `cbor:"25,keyasint,omitempty"`
--- a/link/meter.go
+++ b/link/meter.go
@@ -4,8 +4,8 @@
 // kind and its size in bytes.
 type Meter func(kind string, bytes int)
 
-// Measure sets the meter for all messages sent from now on.
-func (l *Link) Measure(m Meter) { l.meter.Store(&m) }
+// SetMeter sets the meter for all messages sent from now on.
+func (l *Link) SetMeter(m Meter) { l.meter.Store(&m) }
 
 // count reports a message to the meter, if one is set.
 func (l *Link) count(f *Frame, bytes int) {
@@ -25,7 +25,7 @@
 		return "offer_with_content"
 	case f.Offer != nil:
 		return "offer"
-	case f.Granted != nil, f.Queued != nil, f.Refused != nil, f.Silent != nil:
+	case f.Granted != nil, f.Queued != nil, f.Refused != nil, f.Overdue != nil:
 		return "reply"
 	case f.Commit != nil:
 		return "commit"
@@ -33,8 +33,8 @@
 		return "answer"
 	case f.Configuration != nil, f.Operator != nil:
 		return "configuration"
-	case f.LimitAsk != nil, f.LimitAnswer != nil, f.LimitReports != nil,
-		f.LimitProbe != nil, f.LimitReached != nil, f.LimitClaim != nil:
+	case f.LimitRequest != nil, f.LimitReply != nil, f.LimitReports != nil,
+		f.LimitProbe != nil, f.LimitProbeReply != nil, f.HomeNotice != nil:
 		return "limit"
 	case len(f.Records) > 0, f.Digest != nil, len(f.Packed) > 0:
 		return "members"
--- a/link/record.go
+++ b/link/record.go
@@ -22,6 +22,6 @@
 // Digest holds checksums of the membership records that a node has, one for
 // each part of the hashed address space.
 type Digest struct {
-	Sums   []uint64 `cbor:"1,keyasint"`
-	Answer bool     `cbor:"2,keyasint,omitempty"` // The digest replies to the receiver's own.
+	Sums  []uint64 `cbor:"1,keyasint"`
+	Reply bool     `cbor:"2,keyasint,omitempty"` // The digest replies to the receiver's own.
 }
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -18,8 +18,8 @@
 //
 // # Usage
 //
-//	v := membership.New(self, membership.Choice{Near: 24, Far: 24})
-//	for _, c := range v.Update(membership.Heard{At: now, Records: page}) {
+//	v := membership.New(self, membership.LinkCounts{Near: 24, Far: 24})
+//	for _, c := range v.Update(membership.Received{At: now, Records: page}) {
 //		switch c := c.(type) {
 //		case membership.Dial: // Keep a link to c.Member from now on.
 //		}
--- a/membership/message.go
+++ b/membership/message.go
@@ -9,8 +9,8 @@
 // Message is an input to a View, with the time at which it arrived.
 type Message interface{ at() time.Time }
 
-// Heard carries records from the store or another node.
-type Heard struct {
+// Received carries records from the store or another node.
+type Received struct {
 	At      time.Time
 	Records []link.Record
 }
@@ -38,7 +38,7 @@
 // Ticked reports the current time.
 type Ticked struct{ At time.Time }
 
-func (m Heard) at() time.Time       { return m.At }
+func (m Received) at() time.Time    { return m.At }
 func (m Compared) at() time.Time    { return m.At }
 func (m Unreachable) at() time.Time { return m.At }
 func (m Needed) at() time.Time      { return m.At }
@@ -53,8 +53,8 @@
 // Drop closes a link once no request is using it.
 type Drop struct{ Address string }
 
-// News carries records that other nodes may not have yet.
-type News struct{ Records []link.Record }
+// Updates carries records that other nodes may not have yet.
+type Updates struct{ Records []link.Record }
 
 // Reply sends records to the node that sent its sums.
 type Reply struct{ Records []link.Record }
@@ -74,7 +74,7 @@
 
 func (Dial) command()    {}
 func (Drop) command()    {}
-func (News) command()    {}
+func (Updates) command() {}
 func (Reply) command()   {}
 func (Answer) command()  {}
 func (Compare) command() {}
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -16,7 +16,7 @@
 
 const (
 	modelTick       = 250 * time.Millisecond
-	modelNewsMargin = 4 // News goes to ln(n) nodes and this many more.
+	modelNewsMargin = 4 // Updates go to ln(n) nodes and this many more.
 )
 
 // modelNode is one node of the fleet.
@@ -74,14 +74,14 @@
 	n.record.Version = uint64(m.now.UnixMilli())
 	n.linkRecorder, n.up, n.calls = newLinkRecorder(n.record), true, 1
 	page, more := m.read(positionOf(address))
-	n.update(Heard{At: m.now, Records: page})
+	n.update(Received{At: m.now, Records: page})
 	if _, there := m.stored[address]; !there {
 		m.stored[address] = n.record
 		n.calls++
 	}
 	if n.view.Fleet() <= 8 && !more {
 		page, _ = m.read("")
-		n.update(Heard{At: m.now, Records: page})
+		n.update(Received{At: m.now, Records: page})
 		n.calls++
 	}
 	n.update(Ticked{At: m.now})
@@ -115,8 +115,8 @@
 		}
 		for _, near := range []bool{true, false} {
 			for _, o := range m.linked(n, near) { // Both ends of a link exchange their records; known ones change nothing.
-				o.update(Heard{At: m.now, Records: []link.Record{n.record}})
-				n.update(Heard{At: m.now, Records: []link.Record{o.record}})
+				o.update(Received{At: m.now, Records: []link.Record{n.record}})
+				n.update(Received{At: m.now, Records: []link.Record{o.record}})
 			}
 		}
 		n.update(Ticked{At: m.now})
@@ -130,7 +130,7 @@
 
 func (m *model) execute(n *modelNode, c Command) {
 	switch c := c.(type) {
-	case News:
+	case Updates:
 		some := m.linked(n, true)
 		m.random.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
 		recipients := int(math.Ceil(math.Log(float64(n.view.Fleet()+1)))) + modelNewsMargin
@@ -168,7 +168,7 @@
 	if from.record.DataCentre != to.record.DataCentre {
 		from.bytes += len(records)
 	}
-	to.update(Heard{At: m.now, Records: slices.Clone(records)})
+	to.update(Received{At: m.now, Records: slices.Clone(records)})
 }
 
 // missing returns how many records of other running nodes are missing at running nodes, in
@@ -297,7 +297,7 @@
 	m.now = m.now.Add(time.Second)
 	m.start(m.order[7])
 	for _, address := range m.order[:5] {
-		m.nodes[address].update(Heard{At: m.now, Records: []link.Record{old}})
+		m.nodes[address].update(Received{At: m.now, Records: []link.Record{old}})
 	}
 	m.advance(8 * time.Second)
 	for _, o := range m.nodes {
--- a/membership/selection.go
+++ b/membership/selection.go
@@ -9,8 +9,8 @@
 	"eiderfold/link"
 )
 
-// Choice is the number of nodes of each service to which links are kept.
-type Choice struct {
+// LinkCounts is the number of nodes of each service to which links are kept.
+type LinkCounts struct {
 	Near int // In this node's data centre.
 	Far  int // In the other data centres.
 }
@@ -25,7 +25,7 @@
 // join and leave: searching all of them on each change would take quadratic time in the size
 // of the fleet.
 type selection struct {
-	Choice
+	LinkCounts
 	dataCentre string
 	groups     map[group][]*entry // Sorted by preference.
 	dialed     map[string]bool
@@ -33,8 +33,8 @@
 	changed    bool            // The selection may differ from dialed.
 }
 
-func newSelection(c Choice, dataCentre string) selection {
-	return selection{Choice: c, dataCentre: dataCentre, groups: map[group][]*entry{}, dialed: map[string]bool{}, required: map[string]bool{}}
+func newSelection(counts LinkCounts, dataCentre string) selection {
+	return selection{LinkCounts: counts, dataCentre: dataCentre, groups: map[group][]*entry{}, dialed: map[string]bool{}, required: map[string]bool{}}
 }
 
 func (c *selection) groupOf(m link.Member) group {
--- a/membership/view.go
+++ b/membership/view.go
@@ -36,9 +36,9 @@
 }
 
 // New returns a View without other nodes.
-func New(self link.Record, c Choice) *View {
+func New(self link.Record, counts LinkCounts) *View {
 	v := &View{self: self, rank: Rank(self.Name), entries: map[string]*entry{}, services: map[string]int{self.Service: 1}}
-	v.selection = newSelection(c, self.DataCentre)
+	v.selection = newSelection(counts, self.DataCentre)
 	v.sums[rangeOf(self.Address)] = sumOf(self)
 	return v
 }
@@ -49,8 +49,8 @@
 // Update handles a message and returns the commands that follow from it.
 func (v *View) Update(m Message) []Command {
 	switch m := m.(type) {
-	case Heard:
-		return v.heard(m)
+	case Received:
+		return v.received(m)
 	case Compared:
 		return v.compared(m)
 	case Unreachable:
@@ -73,11 +73,11 @@
 // Gates returns the number of nodes of a service.
 func (v *View) Gates(service string) int { return v.services[service] }
 
-// Before returns the number of nodes that rank before this one.
-func (v *View) Before() int { return v.preceding }
+// RankedBefore returns the number of nodes that rank before this one.
+func (v *View) RankedBefore() int { return v.preceding }
 
-// Place returns the relative position of this node in the ranking, in [0, 1).
-func (v *View) Place() float64 { return (float64(v.preceding) + 0.5) / float64(v.Fleet()) }
+// Position returns the relative position of this node in the ranking, in [0, 1).
+func (v *View) Position() float64 { return (float64(v.preceding) + 0.5) / float64(v.Fleet()) }
 
 // Precedes reports whether a node ranks before this one.
 func (v *View) Precedes(address string) bool {
@@ -103,23 +103,23 @@
 	}
 }
 
-// heard merges records, and returns News of those worth passing on.
-func (v *View) heard(m Heard) []Command {
+// received merges records, and returns Updates of those worth passing on.
+func (v *View) received(m Received) []Command {
 	var out []Command
-	var news []link.Record
+	var updates []link.Record
 	for _, r := range m.Records {
 		switch {
 		case r.Address == v.self.Address:
 			if v.refutes(r) {
-				news = append(news, v.self)
+				updates = append(updates, v.self)
 				out = append(out, Refute{})
 			}
 		case v.merge(m.At, r):
-			news = append(news, r)
+			updates = append(updates, r)
 		}
 	}
-	if len(news) > 0 {
-		out = append(out, News{Records: news})
+	if len(updates) > 0 {
+		out = append(out, Updates{Records: updates})
 	}
 	return out
 }
@@ -198,7 +198,7 @@
 	gone := e.Record
 	gone.Gone = true
 	v.merge(m.At, gone)
-	return []Command{News{Records: []link.Record{gone}}}
+	return []Command{Updates{Records: []link.Record{gone}}}
 }
 
 // ticked updates the links to the selection, and starts a comparison with another node if one
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -33,7 +33,7 @@
 }
 
 func newLinkRecorder(self link.Record) *linkRecorder {
-	return &linkRecorder{view: New(self, Choice{Near: 24, Far: 24}), open: map[string]bool{}}
+	return &linkRecorder{view: New(self, LinkCounts{Near: 24, Far: 24}), open: map[string]bool{}}
 }
 
 func (d *linkRecorder) update(m Message) {
@@ -58,12 +58,12 @@
 		fleet := fleetOf(size)
 		single, paged := newLinkRecorder(fleet[0]), newLinkRecorder(fleet[0])
 		for i, r := range fleet[1:] {
-			single.update(Heard{At: startTime, Records: []link.Record{r}})
+			single.update(Received{At: startTime, Records: []link.Record{r}})
 			if i%100 == 0 {
 				single.update(Ticked{At: startTime})
 			}
 		}
-		paged.update(Heard{At: startTime, Records: fleet[1:]})
+		paged.update(Received{At: startTime, Records: fleet[1:]})
 		for _, d := range []*linkRecorder{single, paged} {
 			d.update(Ticked{At: startTime})
 			assert.LessOrEqual(t, len(d.open), 96, "size %d", size)
@@ -80,7 +80,7 @@
 func TestLinksFollowTheFleet(t *testing.T) {
 	fleet := fleetOf(1_000)
 	d := newLinkRecorder(fleet[0])
-	d.update(Heard{At: startTime, Records: fleet[1:]})
+	d.update(Received{At: startTime, Records: fleet[1:]})
 	d.update(Ticked{At: startTime})
 	before := len(d.open)
 	first := map[string]bool{}
@@ -102,7 +102,7 @@
 			back = append(back, r)
 		}
 	}
-	d.update(Heard{At: startTime, Records: back})
+	d.update(Received{At: startTime, Records: back})
 	d.update(Ticked{At: startTime})
 	assert.Equal(t, first, d.open)
 	assert.Equal(t, 1_000, d.view.Fleet())
@@ -112,7 +112,7 @@
 func TestNeededLinksStay(t *testing.T) {
 	fleet := fleetOf(500)
 	d := newLinkRecorder(fleet[0])
-	d.update(Heard{At: startTime, Records: fleet[1:]})
+	d.update(Received{At: startTime, Records: fleet[1:]})
 	d.update(Ticked{At: startTime})
 	needed := ""
 	for _, r := range fleet[1:] {
@@ -123,7 +123,7 @@
 	}
 	d.update(Needed{At: startTime, Address: needed})
 	require.True(t, d.open[needed])
-	d.update(Heard{At: startTime, Records: fleetOf(520)[500:]})
+	d.update(Received{At: startTime, Records: fleetOf(520)[500:]})
 	d.update(Ticked{At: startTime})
 	assert.True(t, d.open[needed])
 	gone := link.Record{Member: fleet[1].Member, Version: 1, Gone: true}
@@ -132,7 +132,7 @@
 			gone.Member = r.Member
 		}
 	}
-	d.update(Heard{At: startTime, Records: []link.Record{gone}})
+	d.update(Received{At: startTime, Records: []link.Record{gone}})
 	d.update(Ticked{At: startTime})
 	assert.False(t, d.open[needed])
 }
@@ -142,16 +142,16 @@
 func TestNodeRefutesThatItIsGone(t *testing.T) {
 	fleet := fleetOf(3)
 	self, other := newLinkRecorder(fleet[0]), newLinkRecorder(fleet[1])
-	other.update(Heard{At: startTime, Records: fleet})
+	other.update(Received{At: startTime, Records: fleet})
 	other.update(Unreachable{At: startTime, Address: fleet[0].Address})
 	assert.Equal(t, 2, other.view.Fleet())
-	news := other.others[len(other.others)-1].(News)
-	self.update(Heard{At: startTime, Records: news.Records})
+	updates := other.others[len(other.others)-1].(Updates)
+	self.update(Received{At: startTime, Records: updates.Records})
 	assert.Contains(t, self.others, Refute{})
-	other.update(Heard{At: startTime, Records: self.others[len(self.others)-1].(News).Records})
+	other.update(Received{At: startTime, Records: self.others[len(self.others)-1].(Updates).Records})
 	assert.Equal(t, 3, other.view.Fleet())
 	self.others = nil
-	self.update(Heard{At: startTime, Records: news.Records})
+	self.update(Received{At: startTime, Records: updates.Records})
 	assert.Empty(t, self.others, "the outdated record has no effect any more")
 }
 
@@ -162,12 +162,12 @@
 	d := newLinkRecorder(fleet[0])
 	now := fleet[1]
 	now.Version, now.Service = 5, "s1"
-	d.update(Heard{At: startTime, Records: []link.Record{now}})
+	d.update(Received{At: startTime, Records: []link.Record{now}})
 	d.others = nil
 	restarted := now
 	restarted.Version = 6
 	unknown := link.Record{Member: link.Member{Name: "x", Address: "10.9.9.9:1"}, Version: 9, Gone: true}
-	d.update(Heard{At: startTime, Records: []link.Record{fleet[1], unknown, restarted}})
+	d.update(Received{At: startTime, Records: []link.Record{fleet[1], unknown, restarted}})
 	assert.Empty(t, d.others)
 	m, ok := d.view.Member(now.Address)
 	require.True(t, ok)
@@ -185,7 +185,7 @@
 			for b.Loop() {
 				d := newLinkRecorder(fleet[0])
 				for _, r := range fleet[1:] {
-					d.update(Heard{At: startTime, Records: []link.Record{r}})
+					d.update(Received{At: startTime, Records: []link.Record{r}})
 				}
 				d.update(Ticked{At: startTime})
 			}
@@ -202,7 +202,7 @@
 			for b.Loop() {
 				b.StopTimer()
 				d := newLinkRecorder(fleet[0])
-				d.update(Heard{At: startTime, Records: fleet[1:]})
+				d.update(Received{At: startTime, Records: fleet[1:]})
 				d.update(Ticked{At: startTime})
 				b.StartTimer()
 				for range 100 {
--- a/mesh/dump.go
+++ b/mesh/dump.go
@@ -49,7 +49,7 @@
 		Configuration: version,
 		Ready:         n.ready(),
 		Evacuated:     n.evacuation.list(),
-		Gate:          gateDump{Mode: s.Mode.String(), Upstream: s.Upstream, Slots: s.Slots, InFlight: n.gate.Busy(), Suspicion: s.Suspect},
+		Gate:          gateDump{Mode: s.Mode.String(), Upstream: s.Upstream, Slots: s.Slots, InFlight: n.gate.Busy(), Suspicion: s.Suspicion},
 	}
 	for _, p := range n.links.all() {
 		t := p.currentEndpoint()
--- a/mesh/evacuation.go
+++ b/mesh/evacuation.go
@@ -107,16 +107,16 @@
 }
 
 // message returns the state to send to peers; nil while none is known.
-func (e *evacuation) message() *link.Operator {
+func (e *evacuation) message() *link.OperatorState {
 	s := e.current()
 	if s.at.Revision == 0 {
 		return nil
 	}
-	return &link.Operator{Era: s.at.Era, Revision: s.at.Revision, Evacuated: s.evacuated}
+	return &link.OperatorState{Era: s.at.Era, Revision: s.at.Revision, Evacuated: s.evacuated}
 }
 
 // receive applies a peer's state; m may be nil.
-func (e *evacuation) receive(m *link.Operator) {
+func (e *evacuation) receive(m *link.OperatorState) {
 	if m != nil {
 		e.node.noteEra(max(m.Era, e.current().at.Era))
 		e.apply(operatorState{at: port.Moment{Era: m.Era, Revision: m.Revision}, evacuated: slices.Clone(m.Evacuated)})
--- a/mesh/homes.go
+++ b/mesh/homes.go
@@ -64,7 +64,7 @@
 	if to == nil {
 		return false, time.Time{}
 	}
-	return true, to.Ponged()
+	return true, to.LastPong()
 }
 
 // Dial implements quota.Fleet.
@@ -104,7 +104,7 @@
 }
 
 // handleReached processes another node's report on whether it reaches the probed node.
-func (l *limits) handleReached(via string, m *link.LimitReached) {
+func (l *limits) handleReached(via string, m *link.LimitProbeReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.homes.Reached(m.Address, via, m.Reached)
@@ -113,7 +113,7 @@
 // handleProbe checks on behalf of another node whether this one reaches a third.
 func (l *limits) handleProbe(from *link.Link, m *link.LimitProbe) {
 	reached := l.answersPing(m.Address)
-	from.Send(&link.Frame{LimitReached: &link.LimitReached{Address: m.Address, Reached: reached}})
+	from.Send(&link.Frame{LimitProbeReply: &link.LimitProbeReply{Address: m.Address, Reached: reached}})
 }
 
 // answersPing reports whether a node answers a ping within pingTimeout.
@@ -126,7 +126,7 @@
 	to.Ping()
 	for time.Since(sent) < pingTimeout {
 		time.Sleep(probePoll)
-		if to.Ponged().After(sent) {
+		if to.LastPong().After(sent) {
 			return true
 		}
 	}
@@ -184,7 +184,7 @@
 	time.Sleep(within)
 	answered := 1
 	for _, p := range peers {
-		if to := p.currentLink(); to != nil && to.Ponged().After(sent) {
+		if to := p.currentLink(); to != nil && to.LastPong().After(sent) {
 			answered++
 		}
 	}
--- a/mesh/inbound.go
+++ b/mesh/inbound.go
@@ -90,7 +90,7 @@
 	if near {
 		prefix = "link_bytes_near_"
 	}
-	to.Measure(func(kind string, bytes int) { l.node.metrics.Add(prefix+kind, bytes) })
+	to.SetMeter(func(kind string, bytes int) { l.node.metrics.Add(prefix+kind, bytes) })
 }
 
 // serve serves an inbound link until it closes.
@@ -105,7 +105,7 @@
 	l.mu.Unlock()
 	l.node.gate.Lost(in)
 	l.node.limits.linkRemoved(in)
-	l.node.log.Debug("inbound link ended", zap.String("from", in.Remote()), zap.Error(err))
+	l.node.log.Debug("inbound link ended", zap.String("from", in.RemoteAddr()), zap.Error(err))
 }
 
 // handleInbound dispatches a message from a node that dialed.
@@ -126,10 +126,10 @@
 		l.handleDigest(in, f.Digest)
 	case len(f.Records) > 0, len(f.Packed) > 0:
 		l.handleRecords(f)
-	case f.LimitAsk != nil:
-		l.node.limits.handleAsk(in, f.LimitAsk)
-	case f.LimitClaim != nil:
-		l.node.limits.handleClaim(f.LimitClaim)
+	case f.LimitRequest != nil:
+		l.node.limits.handleRequest(in, f.LimitRequest)
+	case f.HomeNotice != nil:
+		l.node.limits.handleHomeNotice(f.HomeNotice)
 	case f.LimitProbe != nil:
 		go l.node.limits.handleProbe(in, f.LimitProbe)
 	case len(f.Quarantine) > 0:
--- a/mesh/join_test.go
+++ b/mesh/join_test.go
@@ -16,10 +16,10 @@
 // yet.
 func newJoiningNode(others ...string) *Node {
 	n := &Node{self: link.Member{Name: "new"}, directory: &directory{}, joinDeadline: time.Now().Add(joinTimeout)}
-	n.links = &links{node: n, view: membership.New(link.Record{Member: n.self}, membership.Choice{}), peers: map[string]*peer{}}
+	n.links = &links{node: n, view: membership.New(link.Record{Member: n.self}, membership.LinkCounts{}), peers: map[string]*peer{}}
 	for _, name := range others {
 		m := link.Member{Name: name, Address: name}
-		n.links.view.Update(membership.Heard{At: time.Now(), Records: []link.Record{{Member: m}}})
+		n.links.view.Update(membership.Received{At: time.Now(), Records: []link.Record{{Member: m}}})
 		n.links.peers[name] = &peer{links: n.links, endpoint: ingress.NewTarget(m)}
 	}
 	return n
--- a/mesh/limitpeers.go
+++ b/mesh/limitpeers.go
@@ -46,39 +46,39 @@
 	l.homes.ClearSuspicion(address)
 }
 
-// sendClaims notifies the nodes that may have acted as home in this node's place that this
+// sendHomeNotices notifies the nodes that may have acted as home in this node's place that this
 // node is the account's home. A node without a link is dialed, and learns of this node from
 // its hello.
-func (l *limits) sendClaims(account string, now time.Time) {
+func (l *limits) sendHomeNotices(account string, now time.Time) {
 	for _, successor := range l.homes.Successors(account, now) {
 		if to := l.node.links.linkTo(successor); to != nil {
-			to.Send(&link.Frame{LimitClaim: &link.LimitClaim{Record: l.node.links.self()}})
+			to.Send(&link.Frame{HomeNotice: &link.HomeNotice{Record: l.node.links.self()}})
 			continue
 		}
 		fleetView{l.node.links}.Dial(successor)
 	}
 }
 
-// handleClaim processes another node's claim that it is the home of an account.
-func (l *limits) handleClaim(m *link.LimitClaim) {
+// handleHomeNotice processes another node's claim that it is the home of an account.
+func (l *limits) handleHomeNotice(m *link.HomeNotice) {
 	l.node.links.learn(m.Record)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.homes.Claimed(m.Record.Address, time.Now())
 }
 
-// handleAnswer processes a home's answer to a request.
-func (l *limits) handleAnswer(m *link.LimitAnswer) {
+// handleReply processes a home's answer to a request.
+func (l *limits) handleReply(m *link.LimitReply) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.applyAnswer(m, now)
 }
 
-// handleAsk answers another node's request. If this node is not the account's home but
+// handleRequest answers another node's request. If this node is not the account's home but
 // reaches the home, which the asking node does not, it forwards the request there:
 // otherwise the account would have two homes, and twice its limit.
-func (l *limits) handleAsk(from *link.Link, m *link.LimitAsk) {
+func (l *limits) handleRequest(from *link.Link, m *link.LimitRequest) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +86,7 @@
 	limit, ok := l.limit(m.Account)
 	location := l.homes.Of(m.Account, now)
 	if !ok || location.Home != l.node.self.Address && m.Hops >= maxHops {
-		from.Send(&link.Frame{LimitAnswer: &link.LimitAnswer{Number: m.Number, Unknown: true}})
+		from.Send(&link.Frame{LimitReply: &link.LimitReply{Number: m.Number, Unknown: true}})
 		return
 	}
 	if location.Home != l.node.self.Address {
@@ -98,7 +98,7 @@
 }
 
 // relay asks an account's home on behalf of another node.
-func (l *limits) relay(from *link.Link, m *link.LimitAsk) {
+func (l *limits) relay(from *link.Link, m *link.LimitRequest) {
 	t := l.node.forwarder.Table()
 	account, ok := t.Account(m.Account)
 	if !ok {
@@ -106,7 +106,7 @@
 	}
 	l.node.metrics.Count("limit_relayed")
 	a := l.take(context.Background(), account, m.Hops+1)
-	from.Send(&link.Frame{LimitAnswer: &link.LimitAnswer{Number: m.Number, Granted: a.Granted, Unknown: a.Unconfirmed, After: a.After}})
+	from.Send(&link.Frame{LimitReply: &link.LimitReply{Number: m.Number, Granted: a.Granted, Unknown: a.Unconfirmed, RetryAfter: a.After}})
 }
 
 // handleReports charges tokens that other nodes have spent.
--- a/mesh/limits.go
+++ b/mesh/limits.go
@@ -143,9 +143,9 @@
 			l.node.log.Info("account over its limit", zap.String("account", c.Account), zap.Float64("rate", c.Limit.Rate), zap.Float64("burst", c.Limit.Burst),
 				zap.Float64("left", c.Left), zap.Float64("holds", c.Depth), zap.Int("refused", c.Refused))
 		case quota.Claim:
-			l.sendClaims(c.Account, now)
+			l.sendHomeNotices(c.Account, now)
 		case quota.Answer:
-			l.sendAnswer(c.To, &link.LimitAnswer{Number: c.Number, Granted: c.Granted, After: c.RetryAfter}, now)
+			l.sendAnswer(c.To, &link.LimitReply{Number: c.Number, Granted: c.Granted, RetryAfter: c.RetryAfter}, now)
 		}
 	}
 	for to, list := range reports {
@@ -176,7 +176,7 @@
 	}
 	if to := l.node.links.linkTo(c.To); to != nil {
 		hops := l.pending[c.Number].hops
-		to.Send(&link.Frame{LimitAsk: &link.LimitAsk{Number: c.Number, Account: c.Account, Spent: c.Spent, Hops: hops}})
+		to.Send(&link.Frame{LimitRequest: &link.LimitRequest{Number: c.Number, Account: c.Account, Spent: c.Spent, Hops: hops}})
 	}
 }
 
@@ -192,19 +192,19 @@
 }
 
 // sendAnswer sends a home's answer to the node that asked.
-func (l *limits) sendAnswer(to string, m *link.LimitAnswer, now time.Time) {
+func (l *limits) sendAnswer(to string, m *link.LimitReply, now time.Time) {
 	if to == l.node.self.Address {
 		l.applyAnswer(m, now)
 		return
 	}
 	if in := l.inbound[to]; in != nil {
-		in.Send(&link.Frame{LimitAnswer: m})
+		in.Send(&link.Frame{LimitReply: m})
 	}
 }
 
 // applyAnswer applies a home's answer to a request.
-func (l *limits) applyAnswer(m *link.LimitAnswer, now time.Time) {
-	l.execute(l.limiter.Update(quota.Answered{At: now, Number: m.Number, Granted: m.Granted, Unknown: m.Unknown, RetryAfter: m.After}), now)
+func (l *limits) applyAnswer(m *link.LimitReply, now time.Time) {
+	l.execute(l.limiter.Update(quota.Answered{At: now, Number: m.Number, Granted: m.Granted, Unknown: m.Unknown, RetryAfter: m.RetryAfter}), now)
 }
 
 // flush reports returned tokens.
--- a/mesh/links.go
+++ b/mesh/links.go
@@ -41,7 +41,7 @@
 func newLinks(n *Node) *links {
 	host, _, _ := net.SplitHostPort(n.settings.Load().Links()) // Valid, as the settings were checked.
 	self := link.Record{Member: n.self, Version: uint64(time.Now().UnixMilli())}
-	l := &links{node: n, localIP: net.ParseIP(host), view: membership.New(self, membership.Choice{Near: nearLinks, Far: farLinks}),
+	l := &links{node: n, localIP: net.ParseIP(host), view: membership.New(self, membership.LinkCounts{Near: nearLinks, Far: farLinks}),
 		peers: map[string]*peer{}, inbound: map[*link.Link]*inbound{}}
 	l.selfVersion.Store(self.Version)
 	l.ctx, l.cancel = context.WithCancel(context.Background())
@@ -131,7 +131,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for in, dialer := range l.inbound {
-		if now.Sub(in.Received()) > inboundTimeout {
+		if now.Sub(in.LastReceived()) > inboundTimeout {
 			in.Close()
 		}
 		dialer.sendStatus(in, l.localEndpoint.Status(), now)
@@ -149,7 +149,7 @@
 // hello returns the first message on a link, in either direction.
 func (l *links) hello() *link.Frame {
 	version, _ := l.node.config.current()
-	return &link.Frame{Hello: &link.Hello{Member: l.node.self, Born: l.selfVersion.Load(), Process: l.node.process, Version: version, Status: l.node.gate.Status(), Operator: l.node.evacuation.message()}}
+	return &link.Frame{Hello: &link.Hello{Member: l.node.self, RecordVersion: l.selfVersion.Load(), Process: l.node.process, Version: version, Status: l.node.gate.Status(), Operator: l.node.evacuation.message()}}
 }
 
 // close closes all links.
--- a/mesh/local.go
+++ b/mesh/local.go
@@ -24,8 +24,8 @@
 	return true
 }
 
-// Ponged returns the current time: the own gate lives as long as this node.
-func (localSink) Ponged() time.Time { return time.Now() }
+// LastPong returns the current time: the own gate lives as long as this node.
+func (localSink) LastPong() time.Time { return time.Now() }
 
 // localReturn passes the gate's messages back to the ingress.
 type localReturn struct{ node *Node }
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -44,7 +44,7 @@
 		}
 		accepted = append(accepted, r)
 	}
-	l.update(membership.Heard{At: time.Now(), Records: accepted})
+	l.update(membership.Received{At: time.Now(), Records: accepted})
 }
 
 // update applies a message to the view and executes the resulting commands. It returns
@@ -60,7 +60,7 @@
 			l.add(c.Member)
 		case membership.Drop:
 			l.drain(c.Address)
-		case membership.News:
+		case membership.Updates:
 			l.queueGossip(c.Records)
 		case membership.Refute:
 			l.selfVersion.Store(l.view.Self().Version)
@@ -74,7 +74,7 @@
 	if l.view.Fleet() != fleet {
 		l.changes.Add(1)
 		l.node.budget.ObserveGates(l.view.Gates(l.node.self.Service))
-		l.node.budget.SetRank(l.view.Place())
+		l.node.budget.SetRank(l.view.Position())
 	}
 	l.mu.Unlock()
 	if compare != nil {
@@ -164,12 +164,12 @@
 // handleDigest compares another node's digest with the own one and answers where they
 // differ.
 func (l *links) handleDigest(from *link.Link, d *link.Digest) {
-	for _, c := range l.update(membership.Compared{At: time.Now(), Sums: d.Sums, Answer: d.Answer}) {
+	for _, c := range l.update(membership.Compared{At: time.Now(), Sums: d.Sums, Answer: d.Reply}) {
 		switch c := c.(type) {
 		case membership.Reply:
 			sendRecords(from, c.Records)
 		case membership.Answer:
-			from.Send(&link.Frame{Digest: &link.Digest{Sums: c.Sums, Answer: true}})
+			from.Send(&link.Frame{Digest: &link.Digest{Sums: c.Sums, Reply: true}})
 		}
 	}
 }
--- a/mesh/peer.go
+++ b/mesh/peer.go
@@ -120,10 +120,10 @@
 		p.handleHello(l, f.Hello)
 	case f.Status != nil:
 		p.currentEndpoint().SetStatus(*f.Status, time.Now())
-	case f.LimitAnswer != nil:
-		n.limits.handleAnswer(f.LimitAnswer)
-	case f.LimitReached != nil:
-		n.limits.handleReached(p.address, f.LimitReached)
+	case f.LimitReply != nil:
+		n.limits.handleReply(f.LimitReply)
+	case f.LimitProbeReply != nil:
+		n.limits.handleReached(p.address, f.LimitProbeReply)
 	case len(f.Quarantine) > 0:
 		n.quarantine.receive(f.Quarantine)
 	case f.Digest != nil:
@@ -211,7 +211,7 @@
 	if p.link == nil {
 		return
 	}
-	received := p.link.Received()
+	received := p.link.LastReceived()
 	p.seen = received
 	idle := now.Sub(received)
 	bound := idlePingAfter
--- a/mesh/position.go
+++ b/mesh/position.go
@@ -15,7 +15,7 @@
 func (l *links) position() position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := position{fleet: l.view.Fleet(), before: l.view.Before()}
+	s := position{fleet: l.view.Fleet(), before: l.view.RankedBefore()}
 	reached := 0
 	for address, p := range l.peers {
 		switch {
@@ -34,7 +34,7 @@
 func (l *links) rankedAmong(n int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.view.Before() < n
+	return l.view.RankedBefore() < n
 }
 
 // amongFirst reports whether this node is currently one of the first n.
--- a/node/election.go
+++ b/node/election.go
@@ -128,7 +128,7 @@
 		ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 		reply, err := g.node.call(ctx, m.Address, &peer.Request{Template: g.template, Heartbeat: g.heartbeat()})
 		cancel()
-		if err == nil && reply.Heartbeat != nil && (reply.Heartbeat.HeardLeader || reply.Heartbeat.Coordinator) {
+		if err == nil && reply.Heartbeat != nil && (reply.Heartbeat.LeaderReachable || reply.Heartbeat.Coordinator) {
 			return true
 		}
 	}
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -127,12 +127,12 @@
 		}
 		for i, u := range g.roster.Upstreams[name] {
 			if c, ok := s.pending[u.Name]; ok {
-				h.Evidence[name] = append(h.Evidence[name], peer.Tally{Place: uint32(i), Fast: c.Fast, Slow: c.Slow, Failed: c.Failed})
+				h.Evidence[name] = append(h.Evidence[name], peer.Tally{Index: uint32(i), Fast: c.Fast, Slow: c.Slow, Failed: c.Failed})
 			}
 		}
 		clear(s.pending)
 	}
-	h.Refused = slices.Collect(maps.Keys(g.leaving))
+	h.Leaving = slices.Collect(maps.Keys(g.leaving))
 	return h
 }
 
@@ -159,7 +159,7 @@
 		g.synced.Store(true)
 	}
 	if g.synced.Load() || time.Since(g.node.startedAt) > syncTimeout {
-		if len(r.Shards) == 0 && !r.WantFull {
+		if len(r.Shards) == 0 && !r.WantSequences {
 			g.complete.Store(true) // The digests agree.
 		}
 		for key, value := range r.Shards {
@@ -171,7 +171,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sendSequences = r.WantFull
+	g.sendSequences = r.WantSequences
 	if r.Leader != nil && r.Leader.Epoch > g.leader.Epoch {
 		g.adoptLeader(*r.Leader)
 	}
@@ -205,7 +205,7 @@
 	for service, upstreams := range g.roster.Upstreams {
 		for i, u := range upstreams {
 			if n := loads[u.Name]; n > 0 {
-				found[service] = append(found[service], peer.Load{Place: uint32(i), Count: n})
+				found[service] = append(found[service], peer.Load{Index: uint32(i), Count: n})
 			}
 		}
 	}
@@ -217,8 +217,8 @@
 	for service, list := range loads {
 		upstreams := g.roster.Upstreams[service]
 		for _, l := range list {
-			if int(l.Place) < len(upstreams) {
-				found[upstreams[l.Place].Name] = l.Count
+			if int(l.Index) < len(upstreams) {
+				found[upstreams[l.Index].Name] = l.Count
 			}
 		}
 	}
@@ -230,8 +230,8 @@
 	upstreams := g.roster.Upstreams[service]
 	var counts []core.Count
 	for _, t := range tallies {
-		if int(t.Place) < len(upstreams) {
-			counts = append(counts, core.Count{Upstream: upstreams[t.Place].Name, Fast: t.Fast, Slow: t.Slow, Failed: t.Failed})
+		if int(t.Index) < len(upstreams) {
+			counts = append(counts, core.Count{Upstream: upstreams[t.Index].Name, Fast: t.Fast, Slow: t.Slow, Failed: t.Failed})
 		}
 	}
 	return counts
--- a/node/operations.go
+++ b/node/operations.go
@@ -59,9 +59,9 @@
 		if r.Previous != 0 && replaces == (core.Holder{}) {
 			replaces = g.holder(r.Previous)
 		}
-		c := &peer.Claim{Key: key, Body: body, Holder: g.holder(r.Attempt), Instead: replaces}
+		c := &peer.Claim{Key: key, Body: body, Holder: g.holder(r.Attempt), Replaces: replaces}
 		if !keyCreated.IsZero() {
-			c.Born = keyCreated.UnixMilli()
+			c.KeyCreated = keyCreated.UnixMilli()
 		}
 		answer, err := g.claim(ctx, c)
 		if err != nil {
@@ -245,7 +245,7 @@
 }
 
 // inquire asks the node that has the holder's operation table for the stage.
-func (g *Group) inquire(ctx context.Context, key core.Key, a core.Answer) (*peer.Inquired, error) {
+func (g *Group) inquire(ctx context.Context, key core.Key, a core.Answer) (*peer.InquireReply, error) {
 	i := &peer.Inquire{Key: key, Holder: a.Holder}
 	if a.Where == g.node.identity.Node {
 		return g.answerInquire(i), nil
--- a/node/peers.go
+++ b/node/peers.go
@@ -58,7 +58,7 @@
 	if !g.leading() {
 		leader := g.leader
 		reply.Leader = &leader
-		reply.HeardLeader = now.Sub(g.lastContact) < contactTimeout && g.leader.Epoch > 0
+		reply.LeaderReachable = now.Sub(g.lastContact) < contactTimeout && g.leader.Epoch > 0
 		reply.Roster = g.newerRoster(h)
 		return reply
 	}
@@ -76,7 +76,7 @@
 		g.applyEvidence(from, h, now)
 	}
 	reply.Load = g.loadsByIndex(g.totalLoad())
-	for _, r := range h.Refused {
+	for _, r := range h.Leaving {
 		g.markLeaving(r)
 	}
 	reply.Coordinator = true
@@ -104,7 +104,7 @@
 		return
 	}
 	if h.Sequences == nil && h.Digest != digest(nil) {
-		reply.WantFull = true
+		reply.WantSequences = true
 		return
 	}
 	for key, sequence := range own {
@@ -193,15 +193,15 @@
 	}
 }
 
-func (g *Group) answerCollect(c *peer.Collect) *peer.Collected {
+func (g *Group) answerCollect(c *peer.Collect) *peer.CollectReply {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	promise := g.operations.Update(core.Promise{Epoch: c.Epoch})
 	if !promise.Accepted || !g.view.Promise(c.Epoch) {
-		return &peer.Collected{}
+		return &peer.CollectReply{}
 	}
-	reply := &peer.Collected{Promised: true, Held: g.operations.Held(g.holder(0)), Nodes: g.roster.Nodes, Previous: g.collectEpoch}
-	reply.Adopted, reply.By = g.operations.Adopted(), g.holder(0)
+	reply := &peer.CollectReply{Promised: true, Held: g.operations.Held(g.holder(0)), Nodes: g.roster.Nodes, Previous: g.collectEpoch}
+	reply.Adopted, reply.Adopter = g.operations.Adopted(), g.holder(0)
 	g.collectEpoch = c.Epoch
 	reply.Age = int64(time.Since(g.node.startedAt))
 	if g.leading() && g.lead.epoch < c.Epoch {
@@ -225,20 +225,20 @@
 		// coordinator, which could then not collect its operations.
 		return &core.Answer{Verdict: core.Refused}
 	}
-	claim := core.Claim{At: time.Now(), Key: c.Key, Body: c.Body, Holder: c.Holder, Replaces: c.Instead}
-	if c.Born != 0 {
-		claim.KeyCreated = time.UnixMilli(c.Born)
+	claim := core.Claim{At: time.Now(), Key: c.Key, Body: c.Body, Holder: c.Holder, Replaces: c.Replaces}
+	if c.KeyCreated != 0 {
+		claim.KeyCreated = time.UnixMilli(c.KeyCreated)
 	}
 	answer := g.claims.Update(claim)
 	return &answer
 }
 
-func (g *Group) answerInquire(i *peer.Inquire) *peer.Inquired {
+func (g *Group) answerInquire(i *peer.Inquire) *peer.InquireReply {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	own := i.Holder.Node == g.node.identity.Node && i.Holder.Incarnation == g.node.identity.Incarnation
 	r := g.operations.Update(core.Query{Key: i.Key, Holder: i.Holder, Own: own})
-	return &peer.Inquired{Stage: r.Stage, Answer: r.Answer}
+	return &peer.InquireReply{Stage: r.Stage, Answer: r.Answer}
 }
 
 func (g *Group) answerWitness(w *peer.Witness) bool {
--- a/node/takeover.go
+++ b/node/takeover.go
@@ -135,7 +135,7 @@
 }
 
 // handleCollected applies a node's answer to a Collect request.
-func (g *Group) handleCollected(epoch uint64, node string, c *peer.Collected) {
+func (g *Group) handleCollected(epoch uint64, node string, c *peer.CollectReply) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.leading() || g.lead.epoch != epoch {
@@ -158,7 +158,7 @@
 		uncertainUntil = now.Add(g.window)
 	}
 	for _, from := range c.Adopted {
-		g.claims.Update(core.Moved{From: from, To: c.By})
+		g.claims.Update(core.Moved{From: from, To: c.Adopter})
 	}
 	g.claims.Update(core.Collected{At: now, Node: node, Held: c.Held, LostUntil: uncertainUntil, Complete: c.Complete})
 	g.lead.confirmedAt = now
--- a/peer/message.go
+++ b/peer/message.go
@@ -49,8 +49,8 @@
 	Error     string          `cbor:"1,keyasint,omitempty"`
 	Heartbeat *HeartbeatReply `cbor:"2,keyasint,omitempty"`
 	Claim     *core.Answer    `cbor:"3,keyasint,omitempty"`
-	Inquire   *Inquired       `cbor:"4,keyasint,omitempty"`
-	Collect   *Collected      `cbor:"5,keyasint,omitempty"`
+	Inquire   *InquireReply   `cbor:"4,keyasint,omitempty"`
+	Collect   *CollectReply   `cbor:"5,keyasint,omitempty"`
 	Status    *StatusReply    `cbor:"6,keyasint,omitempty"`
 	Done      bool            `cbor:"7,keyasint,omitempty"`
 }
@@ -62,26 +62,26 @@
 	Beside    string             `cbor:"1,keyasint,omitempty"`
 	Evidence  map[string][]Tally `cbor:"2,keyasint,omitempty"` // By service.
 	Load      map[string][]Load  `cbor:"3,keyasint,omitempty"` // Requests in flight, by service.
-	Sequences map[string]uint64  `cbor:"4,keyasint,omitempty"` // Omitted unless the receiver asked for them with WantFull.
+	Sequences map[string]uint64  `cbor:"4,keyasint,omitempty"` // Omitted unless the receiver asked for them with WantSequences.
 	Digest    uint64             `cbor:"5,keyasint,omitempty"` // Of the sequences in force.
 	Roster    uint64             `cbor:"6,keyasint,omitempty"` // Version of the roster held.
-	Refused   []string           `cbor:"7,keyasint,omitempty"` // Upstreams that announced that they are leaving.
+	Leaving   []string           `cbor:"7,keyasint,omitempty"` // Upstreams that announced that they are leaving.
 	Epoch     uint64             `cbor:"8,keyasint,omitempty"` // Newest epoch promised.
 }
 
-// Tally counts the answers of the upstream at index Place of the roster.
+// Tally counts the answers of the upstream at Index of the roster.
 type Tally struct {
 	_      struct{} `cbor:",toarray"`
-	Place  uint32
+	Index  uint32
 	Fast   uint32
 	Slow   uint32
 	Failed uint32
 }
 
-// Load is the number of in-flight requests of the upstream at index Place of the roster.
+// Load is the number of in-flight requests of the upstream at Index of the roster.
 type Load struct {
 	_     struct{} `cbor:",toarray"`
-	Place uint32
+	Index uint32
 	Count uint32
 }
 
@@ -89,16 +89,16 @@
 // a lease that starts when the heartbeat was sent. A node that is not the coordinator
 // sends no decisions or loads, but configuration, its roster and the current Leader.
 type HeartbeatReply struct {
-	Coordinator bool                  `cbor:"1,keyasint,omitempty"`
-	Stamped     *core.PublishedStates `cbor:"2,keyasint,omitempty"`
-	Shards      map[string][]byte     `cbor:"3,keyasint,omitempty"`
-	Roster      *Roster               `cbor:"4,keyasint,omitempty"`
-	Load        map[string][]Load     `cbor:"5,keyasint,omitempty"`  // In-flight requests of all nodes, by service.
-	WantFull    bool                  `cbor:"6,keyasint,omitempty"`  // The digests differ: send the sequences.
-	CrashedAgo  int64                 `cbor:"7,keyasint,omitempty"`  // Nanoseconds since a node was last lost without a planned stop; 0 for never.
-	Leader      *Leader               `cbor:"8,keyasint,omitempty"`  // Not from the coordinator: the sender's latest known assignment.
-	HeardLeader bool                  `cbor:"9,keyasint,omitempty"`  // The sender had recent contact with Leader.
-	Sequences   map[string]uint64     `cbor:"10,keyasint,omitempty"` // Set if the sender of the heartbeat has newer shards, which it then pushes.
+	Coordinator     bool                  `cbor:"1,keyasint,omitempty"`
+	Stamped         *core.PublishedStates `cbor:"2,keyasint,omitempty"`
+	Shards          map[string][]byte     `cbor:"3,keyasint,omitempty"`
+	Roster          *Roster               `cbor:"4,keyasint,omitempty"`
+	Load            map[string][]Load     `cbor:"5,keyasint,omitempty"`  // In-flight requests of all nodes, by service.
+	WantSequences   bool                  `cbor:"6,keyasint,omitempty"`  // The digests differ: send the sequences.
+	CrashedAgo      int64                 `cbor:"7,keyasint,omitempty"`  // Nanoseconds since a node was last lost without a planned stop; 0 for never.
+	Leader          *Leader               `cbor:"8,keyasint,omitempty"`  // Not from the coordinator: the sender's latest known assignment.
+	LeaderReachable bool                  `cbor:"9,keyasint,omitempty"`  // The sender had recent contact with Leader.
+	Sequences       map[string]uint64     `cbor:"10,keyasint,omitempty"` // Set if the sender of the heartbeat has newer shards, which it then pushes.
 }
 
 // Leader is the assignment in the store, which names the coordinator of a template.
@@ -146,14 +146,14 @@
 	Leader  *Leader               `cbor:"4,keyasint,omitempty"`
 }
 
-// Claim asks the coordinator for the right to start an operation. Instead names a
+// Claim asks the coordinator for the right to start an operation. Replaces names a
 // holder that is known never to start it.
 type Claim struct {
-	Key     core.Key    `cbor:"1,keyasint"`
-	Body    uint64      `cbor:"2,keyasint"`
-	Holder  core.Holder `cbor:"3,keyasint"`
-	Instead core.Holder `cbor:"4,keyasint"`
-	Born    int64       `cbor:"5,keyasint,omitempty"` // When the key was created, in Unix milliseconds; 0 if unknown.
+	Key        core.Key    `cbor:"1,keyasint"`
+	Body       uint64      `cbor:"2,keyasint"`
+	Holder     core.Holder `cbor:"3,keyasint"`
+	Replaces   core.Holder `cbor:"4,keyasint"`
+	KeyCreated int64       `cbor:"5,keyasint,omitempty"` // When the key was created, in Unix milliseconds; 0 if unknown.
 }
 
 // Inquire asks for the stage of an operation. It is sent to the node that has the
@@ -163,8 +163,8 @@
 	Holder core.Holder `cbor:"2,keyasint"`
 }
 
-// Inquired answers Inquire. Answer is set if the operation's answer is still recorded.
-type Inquired struct {
+// InquireReply answers Inquire. Answer is set if the operation's answer is still recorded.
+type InquireReply struct {
 	Stage  core.Stage     `cbor:"1,keyasint"`
 	Answer *core.Recorded `cbor:"2,keyasint,omitempty"`
 }
@@ -175,16 +175,16 @@
 	Epoch uint64 `cbor:"1,keyasint"`
 }
 
-// Collected answers Collect. It is empty if the node has promised a later epoch.
-type Collected struct {
+// CollectReply answers Collect. It is empty if the node has promised a later epoch.
+type CollectReply struct {
 	Promised bool        `cbor:"1,keyasint"`
 	Held     []core.Held `cbor:"2,keyasint,omitempty"`
 	Nodes    []Member    `cbor:"3,keyasint,omitempty"` // The nodes in its roster.
 
-	// Adopted lists the processes whose operation tables the node has taken over. By
+	// Adopted lists the processes whose operation tables the node has taken over. Adopter
 	// identifies the node itself.
 	Adopted    []core.Holder `cbor:"8,keyasint,omitempty"`
-	By         core.Holder   `cbor:"9,keyasint,omitempty"`
+	Adopter    core.Holder   `cbor:"9,keyasint,omitempty"`
 	CrashedAgo int64         `cbor:"4,keyasint,omitempty"` // As in HeartbeatReply.
 	Age        int64         `cbor:"5,keyasint,omitempty"` // Nanoseconds since the process started.
 	Previous   uint64        `cbor:"7,keyasint,omitempty"` // Epoch that this process promised to the previous Collect.
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -33,7 +33,7 @@
 	authority, err := keys.NewAuthority("a")
 	require.NoError(t, err)
 	server := listen(t, material(t, authority, "server"), func(_ context.Context, r *Request) *Reply {
-		return &Reply{Inquire: &Inquired{Stage: core.Done, Answer: &core.Recorded{Status: 201, Body: r.Inquire.Key[:]}}}
+		return &Reply{Inquire: &InquireReply{Stage: core.Done, Answer: &core.Recorded{Status: 201, Body: r.Inquire.Key[:]}}}
 	})
 	client := listen(t, material(t, authority, "client"), nil)
 	key := core.Key{1, 2, 3}
@@ -64,7 +64,7 @@
 // memory, and against decoded messages that cannot be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, r := range []*Request{
-		{Heartbeat: &Heartbeat{Evidence: map[string][]Tally{"s": {{Place: 3, Failed: 1}}}}},
+		{Heartbeat: &Heartbeat{Evidence: map[string][]Tally{"s": {{Index: 3, Failed: 1}}}}},
 		{Claim: &Claim{Key: core.Key{1}, Holder: core.Holder{Node: "n"}}},
 		{Handover: &Handover{Entries: []core.Entry{{Stage: core.Done, Answer: &core.Recorded{Status: 200}}}}},
 	} {
