--- a/bench/standin/metadata_test.go
+++ b/bench/standin/metadata_test.go
@@ -38,7 +38,7 @@
 	require.NoError(t, s.Put(ctx, "b", []byte("kept")))
 	e, _, err := s.Get(ctx, "b")
 	require.NoError(t, err)
-	p, _, err := s.Peek(ctx, "b")
+	p, _, err := s.StaleRange(ctx, "b")
 	require.NoError(t, err)
 	assert.Equal(t, []port.Entry{e}, p)
 	entries, _, err := s.Range(ctx, "a/")
--- a/bench/standin/metadatacalls.go
+++ b/bench/standin/metadatacalls.go
@@ -47,7 +47,7 @@
 
 // writeError sets the era header and, if err is not nil, writes the response for
 // it. It reports whether err was not nil.
-func writeError(w http.ResponseWriter, at port.Moment, err error) bool {
+func writeError(w http.ResponseWriter, at port.StoreRevision, err error) bool {
 	w.Header().Set(headerEra, strconv.FormatUint(at.Era, 10))
 	switch {
 	case err == nil:
@@ -106,7 +106,7 @@
 		return
 	}
 	era := m.directory.Moment().Era // The protocol does not carry the caller's era.
-	entries, at, err := m.directory.Watch(r.Context(), q.Get("pathPrefix"), port.Moment{Era: era, Revision: after}, time.Duration(wait)*time.Millisecond)
+	entries, at, err := m.directory.Watch(r.Context(), q.Get("pathPrefix"), port.StoreRevision{Era: era, Revision: after}, time.Duration(wait)*time.Millisecond)
 	if writeError(w, at, err) {
 		return
 	}
--- a/gate/answer.go
+++ b/gate/answer.go
@@ -26,7 +26,7 @@
 
 // classify checks whether an answer is complete and comes from the upstream itself, and returns
 // a failure if not.
-func (c *client) classify(a *answer, meta port.AnswerTerms, reusable bool) (*answer, bool, *failure) {
+func (c *client) classify(a *answer, meta port.ResponseMetadata, reusable bool) (*answer, bool, *failure) {
 	switch {
 	case meta.NotRun && a.status == http.StatusMisdirectedRequest:
 		return nil, reusable, &failure{outcome: Replaced, reason: link.ReasonMisdirected, detail: "the address is held by " + meta.Upstream}
--- a/gate/attempt.go
+++ b/gate/attempt.go
@@ -48,7 +48,7 @@
 func (g *Gate) run(ctx context.Context, ao *activeOffer, upstream port.Incarnation) {
 	defer ao.cancel()
 	started := time.Now()
-	outgoing := port.OutgoingTerms{Left: ao.deadline.Sub(started), Upstream: upstream.ID, CallerService: ao.offer.CallerService, Account: ao.offer.Account}
+	outgoing := port.OutgoingMetadata{TimeLeft: ao.deadline.Sub(started), Upstream: upstream.ID, CallerService: ao.offer.CallerService, Account: ao.offer.Account}
 	a, f := g.client.do(ctx, ao.offer.Content, outgoing, !ao.offer.Retryable)
 	took := time.Since(started)
 	if f != nil && f.closedByPeer {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -47,7 +47,7 @@
 // upstreamClient sends requests to the upstream.
 type upstreamClient interface {
 	// do sends a request once and returns the complete answer.
-	do(ctx context.Context, r *link.Content, t port.OutgoingTerms, once bool) (*answer, *failure)
+	do(ctx context.Context, r *link.Content, m port.OutgoingMetadata, once bool) (*answer, *failure)
 	// processEnded reports whether the upstream's process is gone.
 	processEnded(ctx context.Context) bool
 	// checkHealth returns the id of the incarnation that reports itself healthy.
--- a/gate/incarnation.go
+++ b/gate/incarnation.go
@@ -34,8 +34,8 @@
 // normalize fills in a missing start time: a report without one is attributed to the current
 // incarnation if the id matches.
 func (a *Admission) normalize(r port.Report) port.Report {
-	if r.Born == 0 && r.ID == a.upstream.ID {
-		r.Born = a.upstream.Born
+	if r.StartedAt == 0 && r.ID == a.upstream.ID {
+		r.StartedAt = a.upstream.StartedAt
 	}
 	return r
 }
--- a/gate/script_test.go
+++ b/gate/script_test.go
@@ -131,9 +131,9 @@
 		if service == "" {
 			service = scriptService
 		}
-		return Reported{At: now, Report: port.Report{Incarnation: port.Incarnation{ID: r.Upstream, Born: r.Born}, Service: service, Slots: r.Slots, Sequence: r.Sequence, Leaving: r.Leaving, ColdLeft: r.Cold}}
+		return Reported{At: now, Report: port.Report{Incarnation: port.Incarnation{ID: r.Upstream, StartedAt: r.Born}, Service: service, Slots: r.Slots, Sequence: r.Sequence, Leaving: r.Leaving, ColdLeft: r.Cold}}
 	case s.Confirm != nil:
-		return Confirmed{At: now, Upstream: port.Incarnation{ID: s.Confirm.Upstream, Born: s.Confirm.Born}, Leaving: s.Confirm.Leaving}
+		return Confirmed{At: now, Upstream: port.Incarnation{ID: s.Confirm.Upstream, StartedAt: s.Confirm.Born}, Leaving: s.Confirm.Leaving}
 	case s.Evacuate != nil:
 		return Evacuated{At: now, On: *s.Evacuate}
 	case s.Bound != nil:
--- a/gate/upstream.go
+++ b/gate/upstream.go
@@ -41,7 +41,7 @@
 }
 
 // do sends the request once and reads the whole answer.
-func (c *client) do(ctx context.Context, r *link.Content, t port.OutgoingTerms, once bool) (*answer, *failure) {
+func (c *client) do(ctx context.Context, r *link.Content, m port.OutgoingMetadata, once bool) (*answer, *failure) {
 	conn, err := c.connection(ctx, once)
 	if err != nil {
 		if ctx.Err() != nil {
@@ -51,7 +51,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	idle := conn.idleFor()
-	a, reusable, f := c.exchange(conn, r, t)
+	a, reusable, f := c.exchange(conn, r, m)
 	conn.unused = false
 	c.adaptIdle(idle, f)
 	open := stop()
@@ -68,9 +68,9 @@
 
 // exchange writes the request and reads its answer, and reports whether the connection can be
 // reused.
-func (c *client) exchange(conn *upstreamConn, r *link.Content, t port.OutgoingTerms) (*answer, bool, *failure) {
-	_ = conn.SetDeadline(time.Now().Add(t.Left + answerGrace)) // Fails only on a closed connection, as the write does.
-	_, writeErr := conn.Write(c.encode(r, t))
+func (c *client) exchange(conn *upstreamConn, r *link.Content, m port.OutgoingMetadata) (*answer, bool, *failure) {
+	_ = conn.SetDeadline(time.Now().Add(m.TimeLeft + answerGrace)) // Fails only on a closed connection, as the write does.
+	_, writeErr := conn.Write(c.encode(r, m))
 	// An upstream may answer before it has read a long body, so a failed write does not mean
 	// that there is no answer.
 	for range maxStaleAnswers {
@@ -88,9 +88,9 @@
 }
 
 // encode returns the request as the caller sent it, with the headers for the upstream.
-func (c *client) encode(r *link.Content, t port.OutgoingTerms) []byte {
+func (c *client) encode(r *link.Content, m port.OutgoingMetadata) []byte {
 	h := http.Header(r.Header).Clone()
-	c.dialect.SetOutgoing(h, t)
+	c.dialect.SetOutgoing(h, m)
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		h.Set("Content-Length", strconv.Itoa(len(r.Body)))
 	}
--- a/gate/upstream_test.go
+++ b/gate/upstream_test.go
@@ -97,7 +97,7 @@
 	return &link.Content{Method: http.MethodPost, Target: "/a/%2Fb?q=1", Host: "office.example", Header: http.Header{"Attempt-Id": {id}}, Body: []byte("text")}
 }
 
-var testMetadata = port.OutgoingTerms{Left: 2 * time.Second, Upstream: "i-1", CallerService: "births"}
+var testMetadata = port.OutgoingMetadata{TimeLeft: 2 * time.Second, Upstream: "i-1", CallerService: "births"}
 
 func TestAnswers(t *testing.T) {
 	text, err := os.ReadFile("testdata/answers/cases.yaml")
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -151,7 +151,7 @@
 		return nil, refusal(result.New(result.NoRoute, path))
 	}
 	parent, isNested := f.parents(metadata.Parent)
-	account, refused := identify(table, matched, metadata.Key, isNested)
+	account, refused := identify(table, matched, metadata.AccountKey, isNested)
 	if refused != nil {
 		return nil, refused
 	}
@@ -159,9 +159,9 @@
 	strip(header)
 	header.Del("Content-Length")
 	if table.HasAccounts() {
-		f.dialect.Conceal(header)
+		f.dialect.StripPrivate(header)
 	}
-	deadline := r.Arrived.Add(callerTimeout(metadata.Patience, matched.Timeout))
+	deadline := r.Arrived.Add(callerTimeout(metadata.Timeout, matched.Timeout))
 	requirements := overload.NewRequirements(matched.Priority, r.Arrived, matched.Target, deadline).ForAccount(table.Priority(matched, account))
 	if isNested && f.endpoints.switches.On(switches.CallTerms) {
 		requirements = requirements.ForAccount(table.CallPriority(matched, parent.Priority)).ForNested(parent)
--- a/memory/directory.go
+++ b/memory/directory.go
@@ -85,21 +85,23 @@
 }
 
 // Moment returns the directory's current era and revision.
-func (d *Directory) Moment() port.Moment {
+func (d *Directory) Moment() port.StoreRevision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.moment()
 }
 
 // moment is Moment with the lock held.
-func (d *Directory) moment() port.Moment { return port.Moment{Era: d.era, Revision: d.revision} }
+func (d *Directory) moment() port.StoreRevision {
+	return port.StoreRevision{Era: d.era, Revision: d.revision}
+}
 
 // Get implements port.Directory.
-func (d *Directory) Get(_ context.Context, key string) (port.Entry, port.Moment, error) {
+func (d *Directory) Get(_ context.Context, key string) (port.Entry, port.StoreRevision, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.checkAvailable(); err != nil {
-		return port.Entry{}, port.Moment{}, err
+		return port.Entry{}, port.StoreRevision{}, err
 	}
 	e, ok := d.entries[key]
 	if !ok {
@@ -112,7 +114,7 @@
 const pageEntries = 500
 
 // Page implements port.Directory.
-func (d *Directory) Page(ctx context.Context, prefix, after string) ([]port.Entry, bool, port.Moment, error) {
+func (d *Directory) Page(ctx context.Context, prefix, after string) ([]port.Entry, bool, port.StoreRevision, error) {
 	all, at, err := d.Range(ctx, prefix)
 	if err != nil {
 		return nil, false, at, err
@@ -125,17 +127,17 @@
 	return rest[:min(len(rest), pageEntries)], len(rest) > pageEntries, at, nil
 }
 
-// Peek implements port.Directory; its result is never stale.
-func (d *Directory) Peek(ctx context.Context, prefix string) ([]port.Entry, port.Moment, error) {
+// StaleRange implements port.Directory; its result is never stale.
+func (d *Directory) StaleRange(ctx context.Context, prefix string) ([]port.Entry, port.StoreRevision, error) {
 	return d.Range(ctx, prefix)
 }
 
 // Range implements port.Directory.
-func (d *Directory) Range(_ context.Context, prefix string) ([]port.Entry, port.Moment, error) {
+func (d *Directory) Range(_ context.Context, prefix string) ([]port.Entry, port.StoreRevision, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.checkAvailable(); err != nil {
-		return nil, port.Moment{}, err
+		return nil, port.StoreRevision{}, err
 	}
 	var out []port.Entry
 	for key, e := range d.entries {
@@ -148,7 +150,7 @@
 }
 
 // Watch implements port.Directory.
-func (d *Directory) Watch(ctx context.Context, prefix string, after port.Moment, wait time.Duration) ([]port.Entry, port.Moment, error) {
+func (d *Directory) Watch(ctx context.Context, prefix string, after port.StoreRevision, wait time.Duration) ([]port.Entry, port.StoreRevision, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -162,7 +164,7 @@
 			found, at, _, err = d.changesAfter(prefix, after, true)
 			return found, at, err
 		case <-ctx.Done():
-			return nil, port.Moment{}, port.ErrUnknown
+			return nil, port.StoreRevision{}, port.ErrUnknown
 		}
 	}
 }
@@ -170,14 +172,14 @@
 // changesAfter returns the changes below a prefix after a revision, and a channel that is
 // closed with the next change. With the fault Deaf it finds changes only if the watch's
 // wait has expired.
-func (d *Directory) changesAfter(prefix string, after port.Moment, expired bool) ([]port.Entry, port.Moment, chan struct{}, error) {
+func (d *Directory) changesAfter(prefix string, after port.StoreRevision, expired bool) ([]port.Entry, port.StoreRevision, chan struct{}, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := d.checkAvailable(); err != nil {
-		return nil, port.Moment{}, nil, err
+		return nil, port.StoreRevision{}, nil, err
 	}
 	if after.Revision < d.compactedTo || after.Revision > d.revision || after.Era != d.era {
-		return nil, port.Moment{}, nil, port.ErrCompacted
+		return nil, port.StoreRevision{}, nil, port.ErrCompacted
 	}
 	if d.faults.Deaf && !expired {
 		return nil, after, d.changed, nil
--- a/mesh/evacuation.go
+++ b/mesh/evacuation.go
@@ -18,7 +18,7 @@
 // operatorState is the operators' settings other than the configuration, as of a store
 // revision.
 type operatorState struct {
-	at        port.Moment
+	at        port.StoreRevision
 	evacuated []string // Data centres, sorted by apply.
 }
 
@@ -119,7 +119,7 @@
 func (e *evacuation) receive(m *link.OperatorState) {
 	if m != nil {
 		e.node.noteEra(max(m.Era, e.current().at.Era))
-		e.apply(operatorState{at: port.Moment{Era: m.Era, Revision: m.Revision}, evacuated: slices.Clone(m.Evacuated)})
+		e.apply(operatorState{at: port.StoreRevision{Era: m.Era, Revision: m.Revision}, evacuated: slices.Clone(m.Evacuated)})
 	}
 }
 
--- a/mesh/operator.go
+++ b/mesh/operator.go
@@ -10,7 +10,7 @@
 )
 
 // applyOperatorEntries applies the complete operator state as of a store revision.
-func (n *Node) applyOperatorEntries(entries []port.Entry, at port.Moment) {
+func (n *Node) applyOperatorEntries(entries []port.Entry, at port.StoreRevision) {
 	var evacuated []string
 	for _, e := range entries {
 		if e.Key == n.platform.ConfigurationKey {
@@ -41,7 +41,7 @@
 }
 
 // applyOperatorEvents applies changes of the operator state up to a store revision.
-func (n *Node) applyOperatorEvents(events []port.Entry, at port.Moment) {
+func (n *Node) applyOperatorEvents(events []port.Entry, at port.StoreRevision) {
 	evacuated := n.evacuation.current().evacuated
 	for _, e := range events {
 		if e.Key == n.platform.ConfigurationKey && !e.Removed {
--- a/mesh/store_test.go
+++ b/mesh/store_test.go
@@ -13,7 +13,7 @@
 type nodeStore struct {
 	*memory.Directory
 	denied atomic.Bool  // The store refuses the node's calls.
-	peeks  atomic.Int64 // Number of calls of Peek.
+	peeks  atomic.Int64 // Number of calls of StaleRange.
 	calls  atomic.Int64 // Number of all calls except watches.
 }
 
@@ -25,38 +25,38 @@
 	return nil
 }
 
-func (s *nodeStore) Get(ctx context.Context, key string) (port.Entry, port.Moment, error) {
+func (s *nodeStore) Get(ctx context.Context, key string) (port.Entry, port.StoreRevision, error) {
 	if err := s.check(); err != nil {
-		return port.Entry{}, port.Moment{}, err
+		return port.Entry{}, port.StoreRevision{}, err
 	}
 	return s.Directory.Get(ctx, key)
 }
 
-func (s *nodeStore) Peek(ctx context.Context, prefix string) ([]port.Entry, port.Moment, error) {
+func (s *nodeStore) StaleRange(ctx context.Context, prefix string) ([]port.Entry, port.StoreRevision, error) {
 	s.peeks.Add(1)
 	if err := s.check(); err != nil {
-		return nil, port.Moment{}, err
+		return nil, port.StoreRevision{}, err
 	}
-	return s.Directory.Peek(ctx, prefix)
+	return s.Directory.StaleRange(ctx, prefix)
 }
 
-func (s *nodeStore) Range(ctx context.Context, prefix string) ([]port.Entry, port.Moment, error) {
+func (s *nodeStore) Range(ctx context.Context, prefix string) ([]port.Entry, port.StoreRevision, error) {
 	if err := s.check(); err != nil {
-		return nil, port.Moment{}, err
+		return nil, port.StoreRevision{}, err
 	}
 	return s.Directory.Range(ctx, prefix)
 }
 
-func (s *nodeStore) Page(ctx context.Context, prefix, after string) ([]port.Entry, bool, port.Moment, error) {
+func (s *nodeStore) Page(ctx context.Context, prefix, after string) ([]port.Entry, bool, port.StoreRevision, error) {
 	if err := s.check(); err != nil {
-		return nil, false, port.Moment{}, err
+		return nil, false, port.StoreRevision{}, err
 	}
 	return s.Directory.Page(ctx, prefix, after)
 }
 
-func (s *nodeStore) Watch(ctx context.Context, prefix string, after port.Moment, wait time.Duration) ([]port.Entry, port.Moment, error) {
+func (s *nodeStore) Watch(ctx context.Context, prefix string, after port.StoreRevision, wait time.Duration) ([]port.Entry, port.StoreRevision, error) {
 	if s.denied.Load() {
-		return nil, port.Moment{}, port.ErrUnavailable
+		return nil, port.StoreRevision{}, port.ErrUnavailable
 	}
 	return s.Directory.Watch(ctx, prefix, after, wait)
 }
--- a/mesh/watch.go
+++ b/mesh/watch.go
@@ -50,7 +50,7 @@
 	}
 	for ctx.Err() == nil {
 		err := c.follow(ctx, &pause, at)
-		at = port.Moment{}
+		at = port.StoreRevision{}
 		if err != nil && ctx.Err() == nil {
 			c.node.log.Info("configuration not followed", zap.Error(err))
 			select {
@@ -65,7 +65,7 @@
 // watches. Compacted history is not an error: follow returns to read everything again. One
 // watch covers the configuration and the evacuated data centres, because a waiting watch
 // costs money. If at is set, state up to that revision is not read again.
-func (c *configuration) follow(ctx context.Context, pause *backoff, at port.Moment) error {
+func (c *configuration) follow(ctx context.Context, pause *backoff, at port.StoreRevision) error {
 	store, operator := c.node.platform.Store, c.node.platform.OperatorPrefix
 	if at.Revision == 0 {
 		entries, read, err := c.read(ctx)
@@ -100,11 +100,11 @@
 // links come up. So a fleet that starts at once refuses callers no longer than it takes to
 // set up links, and not every node reads the store. It returns the revision from which a
 // watch can continue, zero if there is none.
-func (c *configuration) initialRead(ctx context.Context) port.Moment {
+func (c *configuration) initialRead(ctx context.Context) port.StoreRevision {
 	until := time.Now().Add(peersTimeout)
 	for time.Now().Before(until) && ctx.Err() == nil {
 		if version, _ := c.current(); version > 0 {
-			return port.Moment{}
+			return port.StoreRevision{}
 		}
 		if c.node.directory.discovered.Load() && c.node.links.rankedAmong(c.watchers) {
 			break
@@ -119,34 +119,34 @@
 
 // readOnce reads the operator state once. If the read fails, follow repeats it. A possibly
 // stale read gives no revision to start a watch from.
-func (c *configuration) readOnce(ctx context.Context) port.Moment {
+func (c *configuration) readOnce(ctx context.Context) port.StoreRevision {
 	first := c.node.links.rankedAmong(c.watchers)
 	entries, at, err := c.readAs(ctx, first)
 	if err != nil {
 		c.node.log.Info("configuration not read", zap.Error(err))
-		return port.Moment{}
+		return port.StoreRevision{}
 	}
 	c.node.applyOperatorEntries(entries, at)
 	if !first {
-		return port.Moment{}
+		return port.StoreRevision{}
 	}
 	return at
 }
 
 // read reads the operator state. For a node that receives changes from its peers a stale
 // read is enough, as it only looks for changes missed long ago.
-func (c *configuration) read(ctx context.Context) ([]port.Entry, port.Moment, error) {
+func (c *configuration) read(ctx context.Context) ([]port.Entry, port.StoreRevision, error) {
 	return c.readAs(ctx, c.node.links.amongFirst(c.watchers))
 }
 
 // readAs reads the current operator state for a node that watches, and a possibly stale one
 // otherwise.
-func (c *configuration) readAs(ctx context.Context, watches bool) ([]port.Entry, port.Moment, error) {
+func (c *configuration) readAs(ctx context.Context, watches bool) ([]port.Entry, port.StoreRevision, error) {
 	store, operator := c.node.platform.Store, c.node.platform.OperatorPrefix
 	if watches {
 		return store.Range(ctx, operator)
 	}
-	return store.Peek(ctx, operator)
+	return store.StaleRange(ctx, operator)
 }
 
 // awaitPoll waits, without calls to the store, until the next poll is due or the node has
--- a/port/mesh.go
+++ b/port/mesh.go
@@ -41,62 +41,62 @@
 	AcknowledgeReport func(w http.ResponseWriter)
 }
 
-// Moment is a store revision. The revision number grows with each change; a store that is
-// restored from an older copy starts a new era, in which revision numbers start lower and
-// are reused.
-type Moment struct {
+// StoreRevision is a state of the store. The revision number grows with each change; a store
+// that is restored from an older copy starts a new era, in which revision numbers start lower
+// and are reused.
+type StoreRevision struct {
 	Era      uint64
 	Revision uint64
 }
 
-// Before reports whether m is older than o.
-func (m Moment) Before(o Moment) bool {
-	if m.Era != o.Era {
-		return m.Era < o.Era
+// Before reports whether r is older than o.
+func (r StoreRevision) Before(o StoreRevision) bool {
+	if r.Era != o.Era {
+		return r.Era < o.Era
 	}
-	return m.Revision < o.Revision
+	return r.Revision < o.Revision
 }
 
 // Directory is the key-value store of `eiderfold mesh`, with watches of limited duration.
 type Directory interface {
 	// Get reads a key and the store revision. It returns ErrMissing if there is no such key.
-	Get(ctx context.Context, key string) (Entry, Moment, error)
+	Get(ctx context.Context, key string) (Entry, StoreRevision, error)
 	// Range reads everything below a prefix, in key order.
-	Range(ctx context.Context, prefix string) ([]Entry, Moment, error)
+	Range(ctx context.Context, prefix string) ([]Entry, StoreRevision, error)
 	// Page reads one page of the entries below a prefix that follow the key after, and
 	// reports whether there are more. The store determines the size of the page.
-	Page(ctx context.Context, prefix, after string) ([]Entry, bool, Moment, error)
-	// Peek is a stale read of everything below a prefix: the result is at
+	Page(ctx context.Context, prefix, after string) ([]Entry, bool, StoreRevision, error)
+	// StaleRange is a stale read of everything below a prefix: the result is at
 	// most a few seconds old. It costs a tenth of a Range.
-	Peek(ctx context.Context, prefix string) ([]Entry, Moment, error)
+	StaleRange(ctx context.Context, prefix string) ([]Entry, StoreRevision, error)
 	// Watch waits up to wait for changes below prefix after a store revision, and returns
 	// them. It returns ErrCompacted if that history is no longer available.
-	Watch(ctx context.Context, prefix string, after Moment, wait time.Duration) ([]Entry, Moment, error)
+	Watch(ctx context.Context, prefix string, after StoreRevision, wait time.Duration) ([]Entry, StoreRevision, error)
 	// Put writes a key unconditionally.
 	Put(ctx context.Context, key string, value []byte) error
 	// Remove deletes a key.
 	Remove(ctx context.Context, key string) error
 }
 
-// RequestTerms holds the metadata that a caller sends with a request.
-type RequestTerms struct {
-	Attempt   string        // Identifies this attempt of the caller; each retry has another one.
-	Parent    string        // For a nested request, the parent's attempt, if Attempt names it.
-	Patience  time.Duration // The caller's timeout from now; 0 if not sent.
-	Malformed bool          // A header that eiderfold defines cannot be parsed.
-	Key       string        // Key of a client account; "" if missing or malformed.
+// RequestMetadata holds the metadata that a caller sends with a request.
+type RequestMetadata struct {
+	Attempt    string        // Identifies this attempt of the caller; each retry has another one.
+	Parent     string        // For a nested request, the parent's attempt, if Attempt names it.
+	Timeout    time.Duration // The caller's timeout from now; 0 if not sent.
+	Malformed  bool          // A header that eiderfold defines cannot be parsed.
+	AccountKey string        // Key of a client account; "" if missing or malformed.
 }
 
-// OutgoingTerms holds the metadata that is sent to an upstream with a request.
-type OutgoingTerms struct {
-	Left          time.Duration // Time until the request's deadline.
+// OutgoingMetadata holds the metadata that is sent to an upstream with a request.
+type OutgoingMetadata struct {
+	TimeLeft      time.Duration // Time until the request's deadline.
 	Upstream      string        // ID of the upstream that is to run it.
 	CallerService string        // The service of the node where the request arrived.
 	Account       string        // The client account it is made for; "" if none.
 }
 
-// AnswerTerms holds the metadata that an upstream sends with a response.
-type AnswerTerms struct {
+// ResponseMetadata holds the metadata that an upstream sends with a response.
+type ResponseMetadata struct {
 	Attempt  string // The request it belongs to.
 	Upstream string // ID of the upstream that responded; "" if not sent.
 	NotRun   bool   // The request was refused and has not run.
@@ -113,34 +113,34 @@
 	// AttemptHeader returns the canonical name of the header that identifies the attempt.
 	AttemptHeader() string
 	// Request reads a caller's metadata.
-	Request(h http.Header) RequestTerms
-	// Conceal removes headers that only the node that received the request from its caller
+	Request(h http.Header) RequestMetadata
+	// StripPrivate removes headers that only the node that received the request from its caller
 	// may see, and headers that callers may not set.
-	Conceal(h http.Header)
+	StripPrivate(h http.Header)
 	// SetOutgoing writes the metadata for the upstream, replacing headers of the caller.
-	SetOutgoing(h http.Header, t OutgoingTerms)
+	SetOutgoing(h http.Header, m OutgoingMetadata)
 	// Answer reads the metadata of an upstream's response.
-	Answer(status int, h http.Header) AnswerTerms
+	Answer(status int, h http.Header) ResponseMetadata
 }
 
 // Incarnation identifies one run of an upstream, from start to exit. A later run may have
 // the same ID, but shares no state or counters with an earlier one.
 type Incarnation struct {
-	ID   string // "" for none.
-	Born int64  // Start time in Unix milliseconds by the upstream's clock; 0 if not reported.
+	ID        string // "" for none.
+	StartedAt int64  // Start time in Unix milliseconds by the upstream's clock; 0 if not reported.
 }
 
 // String returns a unique name of the incarnation, for logs and keys.
 func (i Incarnation) String() string {
-	if i.Born == 0 {
+	if i.StartedAt == 0 {
 		return i.ID
 	}
-	return i.ID + "@" + strconv.FormatInt(i.Born, 10)
+	return i.ID + "@" + strconv.FormatInt(i.StartedAt, 10)
 }
 
 // Before reports whether i is known to have started before o.
 func (i Incarnation) Before(o Incarnation) bool {
-	return i.Born != 0 && o.Born != 0 && i.Born < o.Born
+	return i.StartedAt != 0 && o.StartedAt != 0 && i.StartedAt < o.StartedAt
 }
 
 // Report is what an upstream reports about itself.
