--- a/bench/cmd/detect/main.go
+++ b/bench/cmd/detect/main.go
@@ -77,7 +77,7 @@
 func (p *gatePolicy) admit(now time.Time, key uint64, retryable bool) decision {
 	k := link.Key{Number: key}
 	deadline := now.Add(time.Minute)
-	for _, c := range p.a.Update(gate.Offered{At: now, Key: k, Service: service, Deadline: deadline, Aim: deadline, Retryable: retryable, Ready: true}) {
+	for _, c := range p.a.Update(gate.Offered{At: now, Key: k, Service: service, Deadline: deadline, TargetDeadline: deadline, Retryable: retryable, Ready: true}) {
 		switch c := c.(type) {
 		case gate.Start:
 			if c.Key == k {
--- a/gate/admission.go
+++ b/gate/admission.go
@@ -28,7 +28,7 @@
 type entry struct {
 	Offered
 	phase       phase
-	queueKey    overload.QueueKey // Key in the queue.
+	queueKey    overload.QueueKey // Its order in the queue.
 	expires     time.Time         // When a grant lapses, or the wait in the queue ends.
 	admitted    time.Time         // When it got its slot.
 	started     time.Time
@@ -120,8 +120,8 @@
 	if reason := a.refusalReason(m); reason != link.ReasonNone {
 		return a.refuse(m, reason)
 	}
-	e := &entry{Offered: m, queueKey: overload.NewQueueKey(m.At, m.Priority, m.Aim, m.Deadline)}
-	expected := a.expectedTime(m.Kind, m.Aim.Sub(m.At))
+	e := &entry{Offered: m, queueKey: overload.NewQueueKey(m.At, m.Priority, m.TargetDeadline, m.Deadline)}
+	expected := a.expectedTime(m.Kind, m.TargetDeadline.Sub(m.At))
 	if a.switches.On(switches.LateLast) {
 		e.queueKey.Update(m.At, expected)
 	}
@@ -137,7 +137,7 @@
 	i, _ := slices.BinarySearchFunc(a.queue, e, compareQueued)
 	wait := a.wait(m.At, i)
 	if i >= maxQueuePerSlot*a.slots || m.At.Add(wait+expected).After(e.queueKey.Limit()) || !a.mayWait(e, wait) {
-		return []Command{Refuse{Key: m.Key, Reason: link.ReasonBusy, After: wait}}
+		return []Command{Refuse{Key: m.Key, Reason: link.ReasonBusy, RetryAfter: wait}}
 	}
 	e.Ready = false // Another gate may get the request meanwhile; the commit decides.
 	a.entries[m.Key] = e
@@ -148,7 +148,7 @@
 
 // refuse refuses an offer for any reason other than its wait in the queue.
 func (a *Admission) refuse(m Offered, reason link.Reason) []Command {
-	return []Command{Refuse{Key: m.Key, Reason: reason, After: a.retryAfter(m.At, reason)}}
+	return []Command{Refuse{Key: m.Key, Reason: reason, RetryAfter: a.retryAfter(m.At, reason)}}
 }
 
 // retryAfter returns how soon an offer that was refused for a reason may be made again; 0 for
@@ -173,7 +173,7 @@
 		return link.ReasonTrial
 	case !m.Deadline.After(m.At):
 		return link.ReasonExpired
-	case m.Claim.NeedsBudget() && !a.budget.CanTake(m.At, m.Claim):
+	case m.AttemptKind.NeedsBudget() && !a.budget.CanTake(m.At, m.AttemptKind):
 		return link.ReasonBudget
 	default:
 		return link.ReasonNone
@@ -203,8 +203,8 @@
 	a.evacuated = m.On
 }
 
-// Crowded reports whether all slots are taken.
-func (a *Admission) Crowded() bool { return a.busy() >= a.slots }
+// Saturated reports whether all slots are taken.
+func (a *Admission) Saturated() bool { return a.busy() >= a.slots }
 
 // canAdmit reports whether the entry may get a slot now. While the upstream may be
 // unresponsive, non-retryable requests stay in the queue until another attempt is answered, or
@@ -263,10 +263,10 @@
 // takeBudget takes a repeat from the budget and reports whether the entry may start. An entry
 // that is no repeat needs no budget.
 func (a *Admission) takeBudget(at time.Time, e *entry) bool {
-	if !e.Claim.NeedsBudget() {
+	if !e.AttemptKind.NeedsBudget() {
 		return true
 	}
-	if !a.budget.TryTake(at, e.Claim) {
+	if !a.budget.TryTake(at, e.AttemptKind) {
 		return false
 	}
 	e.budgetTaken = at
@@ -278,9 +278,9 @@
 	e.phase = running
 	e.started = at
 	e.upstream = a.upstream
-	e.sample = a.addSample(at, e.Kind, e.Aim)
+	e.sample = a.addSample(at, e.Kind, e.TargetDeadline)
 	a.cold.noteStart(at)
-	a.countStart(at, e.Claim)
+	a.countStart(at, e.AttemptKind)
 	return []Command{Start{Key: e.Key}}
 }
 
--- a/gate/attempt.go
+++ b/gate/attempt.go
@@ -57,7 +57,7 @@
 	frame, outcome := g.result(ao, a, f)
 	g.updateQuarantine(ao, frame, outcome, upstream, started, f)
 	if outcome == Erred && g.switches.On(switches.OwnCalls) && g.nestedRequestFailed(started, time.Now()) {
-		outcome = CallFailed
+		outcome = NestedFailed
 	}
 	g.log.Debug("attempt ended", zap.String("attempt", ao.offer.Attempt), zap.Stringer("upstream", upstream),
 		zap.String("outcome", outcome.String()), zap.Duration("took", took))
--- a/gate/cold_test.go
+++ b/gate/cold_test.go
@@ -35,7 +35,7 @@
 		for range 4 {
 			next++
 			out = append(out, a.Update(Offered{At: now, Key: key(next), Service: scriptService, Deadline: now.Add(8 * time.Second),
-				Aim: now.Add(2 * time.Second), Retryable: next%2 == 0, Ready: next%2 == 0})...)
+				TargetDeadline: now.Add(2 * time.Second), Retryable: next%2 == 0, Ready: next%2 == 0})...)
 		}
 		out = append(out, a.Update(Ticked{At: now})...)
 		for len(out) > 0 {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -155,15 +155,15 @@
 	return g.admission.Status()
 }
 
-// Crowded reports whether all slots are taken.
-func (g *Gate) Crowded() bool {
+// Saturated reports whether all slots are taken.
+func (g *Gate) Saturated() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.admission.Crowded()
+	return g.admission.Saturated()
 }
 
-// Busy returns how many offers are queued, granted or running.
-func (g *Gate) Busy() int {
+// ActiveOffers returns how many offers are queued, granted or running.
+func (g *Gate) ActiveOffers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.active)
--- a/gate/health.go
+++ b/gate/health.go
@@ -185,7 +185,7 @@
 	switch m.Outcome {
 	case Good, Erred:
 		a.recordAnswer(e.sample, m.Took)
-	case CallFailed, Shed:
+	case NestedFailed, Shed:
 		a.markAnswered(e.sample) // Its duration is not typical of its kind.
 	default:
 		a.markUnanswered(m.At, e.sample)
--- a/gate/message.go
+++ b/gate/message.go
@@ -13,18 +13,18 @@
 
 // Offered reports an offer of an ingress.
 type Offered struct {
-	At        time.Time
-	Key       link.Key
-	Service   string
-	Upstream  string
-	Deadline  time.Time
-	Aim       time.Time // Target deadline; at most Deadline.
-	Priority  int
-	Retryable bool
-	Force     bool
-	Ready     bool   // It came with its content and may start at once.
-	Kind      uint32 // Requests of one kind take about the same time.
-	Claim     budget.AttemptKind
+	At             time.Time
+	Key            link.Key
+	Service        string
+	Upstream       string
+	Deadline       time.Time
+	TargetDeadline time.Time // At most Deadline.
+	Priority       int
+	Retryable      bool
+	Force          bool
+	Ready          bool   // It came with its content and may start at once.
+	Kind           uint32 // Requests of one kind take about the same time.
+	AttemptKind    budget.AttemptKind
 }
 
 // Committed reports the commit of a granted offer.
@@ -44,14 +44,14 @@
 
 // Outcomes, by what they show about the upstream.
 const (
-	Good       Outcome = iota // A complete answer that is no server error.
-	Erred                     // A complete answer that is a server error.
-	Broken                    // A reset, a closed connection or a malformed answer.
-	Unreached                 // No connection could be established.
-	Shed                      // Refused by the upstream without running.
-	Replaced                  // Another incarnation has the address.
-	NoEvidence                // Canceled by the gate or past the deadline.
-	CallFailed                // A server error that follows from a failed nested request.
+	Good         Outcome = iota // A complete answer that is no server error.
+	Erred                       // A complete answer that is a server error.
+	Broken                      // A reset, a closed connection or a malformed answer.
+	Unreached                   // No connection could be established.
+	Shed                        // Refused by the upstream without running.
+	Replaced                    // Another incarnation has the address.
+	NoEvidence                  // Canceled by the gate or past the deadline.
+	NestedFailed                // A server error that follows from a failed nested request.
 )
 
 var outcomeNames = [...]string{"good", "erred", "broken", "unreached", "shed", "replaced", "no-evidence", "call-failed"}
@@ -128,9 +128,9 @@
 
 // Refuse ends an offer that has not run.
 type Refuse struct {
-	Key    link.Key
-	Reason link.Reason
-	After  time.Duration
+	Key        link.Key
+	Reason     link.Reason
+	RetryAfter time.Duration
 }
 
 // Warn reports that a running retryable attempt is not answered.
--- a/gate/model_test.go
+++ b/gate/model_test.go
@@ -58,14 +58,14 @@
 
 // modelGate is a gate's process, its upstream, and the link to it.
 type modelGate struct {
-	model   *model
-	target  *ingress.Target
-	name    string
-	gate    *Gate
-	cancel  context.CancelFunc
-	done    chan struct{}
-	process uint64
-	link    *modelLink
+	model    *model
+	endpoint *ingress.Endpoint
+	name     string
+	gate     *Gate
+	cancel   context.CancelFunc
+	done     chan struct{}
+	process  uint64
+	link     *modelLink
 }
 
 // modelLink delivers frames in order, with separate random delays in each direction.
@@ -176,8 +176,8 @@
 func newModel(t *testing.T, seed uint64, p fault) *model {
 	t.Helper()
 	m := &model{random: rand.New(rand.NewPCG(seed, 3)), fault: p, runs: map[string]int{}, refused: map[string]bool{}}
-	targets := ingress.NewTargets("here", 0.7)
-	m.forwarder = ingress.NewForwarder("caller", targets, platform.Headers{}, zap.NewNop(), noCounts{})
+	endpoints := ingress.NewEndpoints("here", 0.7)
+	m.forwarder = ingress.NewForwarder("caller", endpoints, platform.Headers{}, zap.NewNop(), noCounts{})
 	table, err := route.New(route.Document{Version: 1, Services: []route.Service{{Name: scriptService}}, Routes: []route.Route{{
 		Name: "order", Host: "office.example", Prefix: "/", Timeout: 3 * time.Second, Target: time.Second, Attempts: 2,
 		Shares: []route.Share{{Service: scriptService, Weight: 1}},
@@ -185,8 +185,8 @@
 	require.NoError(t, err)
 	m.forwarder.SetTable(table)
 	for i := range 2 {
-		g := &modelGate{model: m, name: fmt.Sprintf("g%d", i), target: ingress.NewTarget(link.Member{Name: fmt.Sprintf("g%d", i), Service: scriptService, DataCentre: "here"})}
-		targets.Add(g.target)
+		g := &modelGate{model: m, name: fmt.Sprintf("g%d", i), endpoint: ingress.NewEndpoint(link.Member{Name: fmt.Sprintf("g%d", i), Service: scriptService, DataCentre: "here"})}
+		endpoints.Add(g.endpoint)
 		m.gates = append(m.gates, g)
 		g.start()
 		g.connect()
@@ -216,11 +216,11 @@
 func (g *modelGate) connect() {
 	l := &modelLink{gate: g, toGate: make(chan *link.Frame, 256), toIngress: make(chan *link.Frame, 256), closed: make(chan struct{})}
 	g.link = l
-	g.target.SetStatus(g.gate.Status(), time.Now())
+	g.endpoint.SetStatus(g.gate.Status(), time.Now())
 	gate := g.gate
-	go l.deliverAll(l.toGate, func(f *link.Frame) { g.toGate(gate, l, f) }, func() { gate.Lost(gateSide{l}) })
+	go l.deliverAll(l.toGate, func(f *link.Frame) { g.toGate(gate, l, f) }, func() { gate.LinkLost(gateSide{l}) })
 	go l.deliverAll(l.toIngress, g.toIngress, func() {})
-	g.model.forwarder.Connected(g.target, l, g.process)
+	g.model.forwarder.Connected(g.endpoint, l, g.process)
 }
 
 // deliverAll delivers the frames of one direction until the link is closed, and then some of
@@ -265,7 +265,7 @@
 func (g *modelGate) disturb() {
 	l := g.link
 	l.close()
-	g.model.forwarder.Disconnected(g.target, l)
+	g.model.forwarder.Disconnected(g.endpoint, l)
 	if g.model.draw(3) == 0 {
 		g.cancel()
 		<-g.done
--- a/gate/nested.go
+++ b/gate/nested.go
@@ -17,8 +17,8 @@
 	ended   time.Time
 }
 
-// NoteFailure records that a request from this instance has just failed, and when it arrived.
-func (g *Gate) NoteFailure(arrived time.Time) {
+// RecordFailure records that a request from this instance has just failed, and when it arrived.
+func (g *Gate) RecordFailure(arrived time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.failures) >= maxFailures {
--- a/gate/nested_test.go
+++ b/gate/nested_test.go
@@ -50,7 +50,7 @@
 					began := time.Now()
 					g.Handle(discardSink{}, &link.Frame{Offer: &link.Offer{Key: link.Key{Number: i + 1}, Service: "a", TimeLeft: 5 * time.Second, Retryable: true, Content: &link.Content{}}})
 					time.Sleep(c.fails)
-					g.NoteFailure(began.Add(c.arrives))
+					g.RecordFailure(began.Add(c.arrives))
 					time.Sleep(work)
 				}
 				assert.Equal(t, c.want, g.Status().Mode)
--- a/gate/offer.go
+++ b/gate/offer.go
@@ -34,31 +34,31 @@
 		g.tracker.Merge(now, *o.Record)
 	}
 	ao := &activeOffer{offer: o, sink: from, deadline: now.Add(o.TimeLeft), repeat: o.AttemptKind != budget.First}
-	ao.target = g.admission.AimOf(now, ao.deadline, o.Target)
+	ao.target = g.admission.TargetDeadline(now, ao.deadline, o.Target)
 	g.active[o.Key] = ao
 	g.mu.Unlock()
 	if o.Content != nil && g.refuseQuarantined(now, ao) {
 		return
 	}
 	g.update(Offered{
-		At:        now,
-		Key:       o.Key,
-		Service:   o.Service,
-		Upstream:  o.Upstream,
-		Deadline:  ao.deadline,
-		Aim:       ao.target,
-		Priority:  g.effectivePriority(o.Priority),
-		Retryable: o.Retryable,
-		Force:     o.Force,
-		Ready:     o.Content != nil,
-		Kind:      o.Kind,
-		Claim:     o.AttemptKind,
+		At:             now,
+		Key:            o.Key,
+		Service:        o.Service,
+		Upstream:       o.Upstream,
+		Deadline:       ao.deadline,
+		TargetDeadline: ao.target,
+		Priority:       g.effectivePriority(o.Priority),
+		Retryable:      o.Retryable,
+		Force:          o.Force,
+		Ready:          o.Content != nil,
+		Kind:           o.Kind,
+		AttemptKind:    o.AttemptKind,
 	})
 }
 
-// AimOf returns the target deadline of an offer by the time left until it, which is negative if
-// it has passed and 0 if there is none. Without one, it returns the deadline.
-func (a *Admission) AimOf(now, deadline time.Time, left time.Duration) time.Time {
+// TargetDeadline returns the target deadline of an offer by the time left until it, which is
+// negative if it has passed and 0 if there is none. Without one, it returns the deadline.
+func (a *Admission) TargetDeadline(now, deadline time.Time, left time.Duration) time.Time {
 	ignored := left < 0 && !a.switches.On(switches.LateLast)
 	if left == 0 || ignored || now.Add(left).After(deadline) {
 		return deadline
@@ -140,9 +140,9 @@
 	from.Send(&link.Frame{Refused: &link.Refused{Key: k, Reason: link.ReasonNeverSeen}})
 }
 
-// Lost withdraws the offers that came over a broken link. Running non-retryable requests go on,
-// and the ingress can ask for their results.
-func (g *Gate) Lost(from Sink) {
+// LinkLost withdraws the offers that came over a broken link. Running non-retryable requests
+// go on, and the ingress can ask for their results.
+func (g *Gate) LinkLost(from Sink) {
 	g.mu.Lock()
 	var keys []link.Key
 	for k, ao := range g.active {
--- a/gate/queue.go
+++ b/gate/queue.go
@@ -35,14 +35,14 @@
 		return nil
 	}
 	for _, e := range a.queue {
-		e.queueKey.Update(at, a.expectedTime(e.Kind, e.Aim.Sub(at)))
+		e.queueKey.Update(at, a.expectedTime(e.Kind, e.TargetDeadline.Sub(at)))
 	}
 	slices.SortStableFunc(a.queue, compareQueued)
 	var out []Command
 	for i, e := range slices.Clone(a.queue) {
 		if wait := a.wait(at, i); !a.mayWait(e, wait) {
 			a.drop(e)
-			out = append(out, Refuse{Key: e.Key, Reason: link.ReasonBusy, After: wait})
+			out = append(out, Refuse{Key: e.Key, Reason: link.ReasonBusy, RetryAfter: wait})
 		}
 	}
 	return out
--- a/gate/reconcile.go
+++ b/gate/reconcile.go
@@ -21,7 +21,7 @@
 			out = append(out, Refuse{Key: e.Key, Reason: link.ReasonExpired})
 		case e.phase == queued && at.After(e.expires):
 			a.drop(e)
-			out = append(out, Refuse{Key: e.Key, Reason: link.ReasonBusy, After: a.wait(at, len(a.queue))})
+			out = append(out, Refuse{Key: e.Key, Reason: link.ReasonBusy, RetryAfter: a.wait(at, len(a.queue))})
 		case e.phase == running && a.trialAttemptHangs(at, e):
 			e.hung = true
 			a.bad(at, suspicionHang)
--- a/gate/script_test.go
+++ b/gate/script_test.go
@@ -154,12 +154,12 @@
 	if left == 0 {
 		left = 2 * time.Second
 	}
-	aimed := o.Aim
-	if aimed == 0 {
-		aimed = left
+	target := o.Aim
+	if target == 0 {
+		target = left
 	}
 	return Offered{At: now, Key: key(o.Key), Service: service, Upstream: o.Upstream, Priority: o.Priority,
-		Deadline: now.Add(left), Aim: now.Add(aimed), Retryable: o.Retryable, Ready: o.Ready, Force: o.Force, Kind: o.Kind}
+		Deadline: now.Add(left), TargetDeadline: now.Add(target), Retryable: o.Retryable, Ready: o.Ready, Force: o.Force, Kind: o.Kind}
 }
 
 func key(n uint64) link.Key { return link.Key{Origin: 1, Number: n} }
--- a/ingress/bodymemory_test.go
+++ b/ingress/bodymemory_test.go
@@ -32,7 +32,7 @@
 	refused = &atomic.Int64{}
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := NewServer(serve, func() route.Limits { return route.Limits{} }, WithRoom(bytes, func() { refused.Add(1) }))
+	s := NewServer(serve, func() route.Limits { return route.Limits{} }, WithBodyMemory(bytes, func() { refused.Add(1) }))
 	go s.Serve(l) //nolint:errcheck // It ends with the listener.
 	t.Cleanup(func() { _ = l.Close() })
 	return l.Addr().String(), refused
--- a/ingress/choose.go
+++ b/ingress/choose.go
@@ -35,38 +35,38 @@
 	retryable   bool
 	allowTrials bool // The budget allows for a trial that fails.
 	priority    int
-	nearOnly    bool      // Exclude gates of other data centres.
-	tried       []*Target // Gates that were already asked.
+	nearOnly    bool        // Exclude gates of other data centres.
+	tried       []*Endpoint // Gates that were already asked.
 	regions     route.Regions
 }
 
 // selection is the selected gate, nil if there is none. With force, the gate must accept
 // the offer even if it is on trial.
 type selection struct {
-	endpoint     *Target
+	endpoint     *Endpoint
 	force        bool
 	noneEligible bool // The service has gates, but none is eligible for the request.
 }
 
 // candidates are the gates that can be asked, grouped by state.
 type candidates struct {
-	open          []*Target
-	trial         []*Target
-	suspected     []*Target // Recently unresponsive.
-	unresponsive  []*Target // Did not reply to a ping in time.
-	anyResponsive bool      // Some gate of the service is responsive.
-	belowFloor    bool      // Too few of the service's gates are open.
-	noneEligible  bool      // No gate of the service is eligible for the request.
+	open          []*Endpoint
+	trial         []*Endpoint
+	suspected     []*Endpoint // Recently unresponsive.
+	unresponsive  []*Endpoint // Did not reply to a ping in time.
+	anyResponsive bool        // Some gate of the service is responsive.
+	belowFloor    bool        // Too few of the service's gates are open.
+	noneEligible  bool        // No gate of the service is eligible for the request.
 }
 
 // candidates groups a service's gates by state.
-func (t *Targets) candidates(crit criteria, now time.Time) candidates {
+func (e *Endpoints) candidates(crit criteria, now time.Time) candidates {
 	var c candidates
 	open, live := 0, 0
-	all := t.Of(crit.service)
-	c.noneEligible = len(all) > 0 && t.joined.Load()
+	all := e.Of(crit.service)
+	c.noneEligible = len(all) > 0 && e.joined.Load()
 	for _, n := range all {
-		if !t.eligible(n, crit.regions) {
+		if !e.eligible(n, crit.regions) {
 			continue
 		}
 		c.noneEligible = false
@@ -94,62 +94,62 @@
 			c.trial = append(c.trial, n)
 		}
 	}
-	c.belowFloor = t.switches.On(switches.Forced) && float64(open) < t.minOpen(live)
+	c.belowFloor = e.switches.On(switches.Forced) && float64(open) < e.minOpen(live)
 	return c
 }
 
 // choose selects a gate; the endpoint is nil if none can be asked.
-func (t *Targets) choose(crit criteria, now time.Time) selection {
-	c := t.candidates(crit, now)
+func (e *Endpoints) choose(crit criteria, now time.Time) selection {
+	c := e.candidates(crit, now)
 	mayTrial := crit.retryable && crit.allowTrials
-	if len(c.trial) > 0 && mayTrial && t.draw() < trialShare {
-		return selection{endpoint: t.oneOf(t.nearFirst(c.trial))}
+	if len(c.trial) > 0 && mayTrial && e.draw() < trialShare {
+		return selection{endpoint: e.oneOf(e.nearFirst(c.trial))}
 	}
 	if crit.nearOnly {
-		c.open, c.trial, c.suspected = t.near(c.open), t.near(c.trial), nil
+		c.open, c.trial, c.suspected = e.near(c.open), e.near(c.trial), nil
 	}
 	switch {
 	case len(c.open) > 0:
-		return selection{endpoint: t.best(c.open, now)}
+		return selection{endpoint: e.best(c.open, now)}
 	case len(c.trial) > 0 && (c.belowFloor || mayTrial):
 		return selection{endpoint: leastSuspect(c.trial), force: c.belowFloor}
 	case len(c.suspected) > 0:
-		return selection{endpoint: t.oneOf(c.suspected), force: c.belowFloor}
+		return selection{endpoint: e.oneOf(c.suspected), force: c.belowFloor}
 	case len(c.unresponsive) > 0 && !c.anyResponsive && !crit.nearOnly:
 		// No other gate can serve the request, and this node may be the one that receives
 		// nothing.
-		return selection{endpoint: t.oneOf(c.unresponsive), force: c.belowFloor}
+		return selection{endpoint: e.oneOf(c.unresponsive), force: c.belowFloor}
 	default:
 		return selection{noneEligible: c.noneEligible}
 	}
 }
 
 // oneOf returns a random endpoint.
-func (t *Targets) oneOf(list []*Target) *Target { return list[int(t.draw()*float64(len(list)))] }
+func (e *Endpoints) oneOf(list []*Endpoint) *Endpoint { return list[int(e.draw()*float64(len(list)))] }
 
 // minOpen returns how many of a service's live gates must be open; if fewer are, suspicion
 // is ignored. A gate on trial still gets a few retryable requests, so the bound is half
 // the floor.
-func (t *Targets) minOpen(live int) float64 { return *t.floorShare.Load() * float64(live) / 2 }
+func (e *Endpoints) minOpen(live int) float64 { return *e.floorShare.Load() * float64(live) / 2 }
 
-func leastSuspect(list []*Target) *Target {
-	return slices.MinFunc(list, func(a, b *Target) int { return cmp.Compare(a.Status().Suspicion, b.Status().Suspicion) })
+func leastSuspect(list []*Endpoint) *Endpoint {
+	return slices.MinFunc(list, func(a, b *Endpoint) int { return cmp.Compare(a.Status().Suspicion, b.Status().Suspicion) })
 }
 
 // best returns the better of two random open gates, preferring the own data centre.
-func (t *Targets) best(open []*Target, now time.Time) *Target {
+func (e *Endpoints) best(open []*Endpoint, now time.Time) *Endpoint {
 	median := medianResponseTime(open, now)
 	pool := withoutSlow(open, median, now)
-	if !t.switches.On(switches.SlowLast) {
+	if !e.switches.On(switches.SlowLast) {
 		pool = open
 	}
-	if t.draw() > farShare && t.switches.On(switches.Near) {
-		pool = t.nearFirst(pool)
+	if e.draw() > farShare && e.switches.On(switches.Near) {
+		pool = e.nearFirst(pool)
 	}
-	if t.draw() < exploreShare {
-		return t.oneOf(t.nearFirst(open))
+	if e.draw() < exploreShare {
+		return e.oneOf(e.nearFirst(open))
 	}
-	a, b := t.oneOf(pool), t.oneOf(pool)
+	a, b := e.oneOf(pool), e.oneOf(pool)
 	if b.cost(median, now) < a.cost(median, now) {
 		return b
 	}
@@ -157,18 +157,18 @@
 }
 
 // nearFirst returns the endpoints in the own data centre, or all if there are none.
-func (t *Targets) nearFirst(list []*Target) []*Target {
-	if near := t.near(list); len(near) > 0 {
+func (e *Endpoints) nearFirst(list []*Endpoint) []*Endpoint {
+	if near := e.near(list); len(near) > 0 {
 		return near
 	}
 	return list
 }
 
 // near returns the endpoints in the own data centre.
-func (t *Targets) near(list []*Target) []*Target {
-	var out []*Target
+func (e *Endpoints) near(list []*Endpoint) []*Endpoint {
+	var out []*Endpoint
 	for _, n := range list {
-		if n.member.DataCentre == t.dataCentre {
+		if n.member.DataCentre == e.dataCentre {
 			out = append(out, n)
 		}
 	}
@@ -176,12 +176,12 @@
 }
 
 // withoutSlow filters out gates whose mean response time is far above the median.
-func withoutSlow(list []*Target, median time.Duration, now time.Time) []*Target {
+func withoutSlow(list []*Endpoint, median time.Duration, now time.Time) []*Endpoint {
 	bound := time.Duration(slowFactor * float64(median))
 	if bound == 0 {
 		return list
 	}
-	var out []*Target
+	var out []*Endpoint
 	for _, n := range list {
 		if n.responseTime.at(now) <= bound {
 			out = append(out, n)
@@ -192,12 +192,12 @@
 
 // cost estimates the time a request would take at the gate. A gate without a recent
 // response time counts as the median.
-func (t *Target) cost(median time.Duration, now time.Time) float64 {
-	s := t.Status()
-	mean := t.responseTime.at(now)
+func (e *Endpoint) cost(median time.Duration, now time.Time) float64 {
+	s := e.Status()
+	mean := e.responseTime.at(now)
 	if mean == 0 {
 		mean = max(median, time.Millisecond)
 	}
-	busy := 1 + float64(t.inFlight.Load())/float64(max(s.Slots, 1))
+	busy := 1 + float64(e.inFlight.Load())/float64(max(s.Slots, 1))
 	return busy * float64(mean) * (1 + s.Suspicion)
 }
--- a/ingress/deliver.go
+++ b/ingress/deliver.go
@@ -60,19 +60,19 @@
 }
 
 // Connected sets the link to an endpoint's process and notifies the requests in flight.
-func (f *Forwarder) Connected(t *Target, sink Sink, process uint64) {
-	t.link.Store(&gateLink{sink: sink, process: process})
-	f.broadcast(event{endpoint: t})
+func (f *Forwarder) Connected(e *Endpoint, sink Sink, process uint64) {
+	e.link.Store(&gateLink{sink: sink, process: process})
+	f.broadcast(event{endpoint: e})
 }
 
 // Disconnected removes a link and notifies the requests in flight. It ignores a link that
 // has been replaced already.
-func (f *Forwarder) Disconnected(t *Target, sink Sink) {
-	l := t.link.Load()
-	if l == nil || l.sink != sink || !t.link.CompareAndSwap(l, nil) {
+func (f *Forwarder) Disconnected(e *Endpoint, sink Sink) {
+	l := e.link.Load()
+	if l == nil || l.sink != sink || !e.link.CompareAndSwap(l, nil) {
 		return
 	}
-	f.broadcast(event{endpoint: t, lost: true})
+	f.broadcast(event{endpoint: e, lost: true})
 }
 
 // Finish ends every request in flight with what is known of its outcome.
--- a/ingress/target.go
+++ b/ingress/endpoint.go
@@ -29,8 +29,8 @@
 	pingedAt atomic.Int64 // UnixNano of the ping sent when the gate became suspected, 0 for none.
 }
 
-// Target is a gate that this node can send offers to, with its last reported status.
-type Target struct {
+// Endpoint is a gate that this node can send offers to, with its last reported status.
+type Endpoint struct {
 	member         link.Member
 	link           atomic.Pointer[gateLink]
 	status         atomic.Pointer[link.Status]
@@ -43,56 +43,56 @@
 }
 
 // noteRefusal records why the gate refused an offer of a priority.
-func (t *Target) noteRefusal(m *link.Refused, priority int, now time.Time) {
+func (e *Endpoint) noteRefusal(m *link.Refused, priority int, now time.Time) {
 	at := now.Add(min(m.RetryAfter, maxRefusalTime)).UnixNano()
 	switch m.Reason {
 	case link.ReasonTrial:
-		t.noTrialUntil.Store(at)
+		e.noTrialUntil.Store(at)
 	case link.ReasonBusy:
-		t.busyPriority.Store(int32(priority))
-		t.busyUntil.Store(at)
+		e.busyPriority.Store(int32(priority))
+		e.busyUntil.Store(at)
 	}
 }
 
 // full reports whether an offer of a priority would be refused.
-func (t *Target) full(priority int, now time.Time) bool {
-	return now.UnixNano() < t.busyUntil.Load() && int32(priority) >= t.busyPriority.Load()
+func (e *Endpoint) full(priority int, now time.Time) bool {
+	return now.UnixNano() < e.busyUntil.Load() && int32(priority) >= e.busyPriority.Load()
 }
 
-// NewTarget returns an endpoint without a link.
-func NewTarget(m link.Member) *Target {
-	t := &Target{member: m}
-	t.status.Store(&link.Status{})
-	return t
+// NewEndpoint returns an endpoint without a link.
+func NewEndpoint(m link.Member) *Endpoint {
+	e := &Endpoint{member: m}
+	e.status.Store(&link.Status{})
+	return e
 }
 
 // Member returns the fleet member that the gate belongs to.
-func (t *Target) Member() link.Member { return t.member }
+func (e *Endpoint) Member() link.Member { return e.member }
 
 // Status returns the gate's last reported status.
-func (t *Target) Status() link.Status { return *t.status.Load() }
+func (e *Endpoint) Status() link.Status { return *e.status.Load() }
 
 // SetStatus records a status reported by the gate.
-func (t *Target) SetStatus(s link.Status, now time.Time) {
-	t.status.Store(&s)
-	t.responseTime.note(s.MeanResponseTime, now)
+func (e *Endpoint) SetStatus(s link.Status, now time.Time) {
+	e.status.Store(&s)
+	e.responseTime.note(s.MeanResponseTime, now)
 }
 
 // Reachable reports whether there is a link to the gate.
-func (t *Target) Reachable() bool { return t.link.Load() != nil }
+func (e *Endpoint) Reachable() bool { return e.link.Load() != nil }
 
-func (t *Target) send(f *link.Frame) bool {
-	l := t.link.Load()
+func (e *Endpoint) send(f *link.Frame) bool {
+	l := e.link.Load()
 	return l != nil && l.sink.Send(f)
 }
 
-// Targets holds all known gates by service.
-type Targets struct {
+// Endpoints holds all known gates by service.
+type Endpoints struct {
 	dataCentre     string
 	floorShare     atomic.Pointer[float64]
 	mu             sync.Mutex // Held by writers of services.
 	switches       switches.Set
-	services       atomic.Pointer[map[string][]*Target]
+	services       atomic.Pointer[map[string][]*Endpoint]
 	joined         atomic.Bool              // The wait for other nodes at the start is over.
 	evacuated      atomic.Pointer[[]string] // Data centres that receive no requests.
 	regions        map[string]string        // Region by data centre, where known.
@@ -101,81 +101,81 @@
 }
 
 // noteBudgetExhausted records that a gate of a service had no budget for a repeat.
-func (t *Targets) noteBudgetExhausted(service string, now time.Time) {
-	t.exhaustedUntil.Store(service, now.Add(budgetBackoff).UnixNano())
+func (e *Endpoints) noteBudgetExhausted(service string, now time.Time) {
+	e.exhaustedUntil.Store(service, now.Add(budgetBackoff).UnixNano())
 }
 
 // budgetExhausted reports whether a gate of a service recently had no budget for a repeat.
-func (t *Targets) budgetExhausted(service string, now time.Time) bool {
-	until, ok := t.exhaustedUntil.Load(service)
+func (e *Endpoints) budgetExhausted(service string, now time.Time) bool {
+	until, ok := e.exhaustedUntil.Load(service)
 	return ok && now.UnixNano() < until.(int64)
 }
 
-// NewTargets returns an empty set of endpoints for a node in a data centre. floorShare is
+// NewEndpoints returns an empty set of endpoints for a node in a data centre. floorShare is
 // the share of a service's gates that must stay in use despite suspicion.
-func NewTargets(dataCentre string, floorShare float64) *Targets {
-	t := &Targets{dataCentre: dataCentre, draw: rand.Float64}
-	t.SetEvacuated(nil)
-	t.SetFloorShare(floorShare)
-	t.services.Store(&map[string][]*Target{})
-	return t
+func NewEndpoints(dataCentre string, floorShare float64) *Endpoints {
+	e := &Endpoints{dataCentre: dataCentre, draw: rand.Float64}
+	e.SetEvacuated(nil)
+	e.SetFloorShare(floorShare)
+	e.services.Store(&map[string][]*Endpoint{})
+	return e
 }
 
 // SetSwitches sets which mechanisms are on. It must be called before the first selection.
-func (t *Targets) SetSwitches(s switches.Set) { t.switches = s }
+func (e *Endpoints) SetSwitches(s switches.Set) { e.switches = s }
 
 // SetRegions sets the region of each data centre. It must be called before the first
 // selection.
-func (t *Targets) SetRegions(ofDataCentres map[string]string) { t.regions = ofDataCentres }
+func (e *Endpoints) SetRegions(ofDataCentres map[string]string) { e.regions = ofDataCentres }
 
-// SetMet records that the node's wait for other nodes at its start is over, whether it has
+// SetJoined records that the node's wait for other nodes at its start is over, whether it has
 // met them or its time has passed. Until then, an eligible gate may merely be unknown
 // still, so a request waits. From then on, it is refused at once if its service has known
 // gates but none is eligible.
-func (t *Targets) SetMet() { t.joined.Store(true) }
+func (e *Endpoints) SetJoined() { e.joined.Store(true) }
 
 // SetEvacuated sets the data centres that receive no requests.
-func (t *Targets) SetEvacuated(dataCentres []string) { t.evacuated.Store(&dataCentres) }
+func (e *Endpoints) SetEvacuated(dataCentres []string) { e.evacuated.Store(&dataCentres) }
 
 // eligible reports whether a request may be sent to an endpoint's data centre.
-func (t *Targets) eligible(n *Target, regions route.Regions) bool {
+func (e *Endpoints) eligible(n *Endpoint, regions route.Regions) bool {
 	dataCentre := n.member.DataCentre
-	if slices.Contains(*t.evacuated.Load(), dataCentre) {
+	if slices.Contains(*e.evacuated.Load(), dataCentre) {
 		return false
 	}
-	return !regions.Bound() || regions.Allow(t.regions[dataCentre])
+	return !regions.Bound() || regions.Allow(e.regions[dataCentre])
 }
 
 // SetFloorShare sets the share of a service's gates that must stay in use despite
 // suspicion.
-func (t *Targets) SetFloorShare(share float64) { t.floorShare.Store(&share) }
+func (e *Endpoints) SetFloorShare(share float64) { e.floorShare.Store(&share) }
 
 // Add adds an endpoint.
-func (t *Targets) Add(n *Target) { t.edit(n, true) }
+func (e *Endpoints) Add(n *Endpoint) { e.edit(n, true) }
 
 // Remove removes an endpoint.
-func (t *Targets) Remove(n *Target) { t.edit(n, false) }
+func (e *Endpoints) Remove(n *Endpoint) { e.edit(n, false) }
 
 // edit replaces the map by a modified copy, so that readers need no lock.
-func (t *Targets) edit(n *Target, add bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	old := *t.services.Load()
-	next := make(map[string][]*Target, len(old)+1)
+func (e *Endpoints) edit(n *Endpoint, add bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	old := *e.services.Load()
+	next := make(map[string][]*Endpoint, len(old)+1)
 	for name, list := range old {
 		next[name] = list
 	}
 	service := n.member.Service
-	list := slices.DeleteFunc(slices.Clone(next[service]), func(o *Target) bool { return o == n })
+	list := slices.DeleteFunc(slices.Clone(next[service]), func(o *Endpoint) bool { return o == n })
 	if add {
 		list = append(list, n)
 	}
 	next[service] = list
-	t.services.Store(&next)
+	e.services.Store(&next)
 }
 
 // Of returns a service's endpoints.
-func (t *Targets) Of(service string) []*Target { return (*t.services.Load())[service] }
+func (e *Endpoints) Of(service string) []*Endpoint { return (*e.services.Load())[service] }
 
 // Busy reports whether an offer to the gate is outstanding.
-func (t *Target) Busy() bool { return t.inFlight.Load() > 0 }
+func (e *Endpoint) Busy() bool { return e.inFlight.Load() > 0 }
--- a/ingress/target_test.go
+++ b/ingress/endpoint_test.go
@@ -16,9 +16,9 @@
 
 // gates returns reachable endpoints of one service, one per letter: o for open, t for on
 // trial, c for closed, in the own data centre if it is a capital.
-func gates(states string) (*Targets, []*Target) {
-	targets := NewTargets("near", 0.7)
-	var all []*Target
+func gates(states string) (*Endpoints, []*Endpoint) {
+	endpoints := NewEndpoints("near", 0.7)
+	var all []*Endpoint
 	for _, s := range states {
 		dataCentre, mode := "far", link.ModeOpen
 		switch s {
@@ -31,23 +31,23 @@
 		case 'C', 'c':
 			mode = link.ModeClosed
 		}
-		n := NewTarget(link.Member{Service: "a", DataCentre: dataCentre})
+		n := NewEndpoint(link.Member{Service: "a", DataCentre: dataCentre})
 		n.SetStatus(link.Status{Mode: mode, Slots: 4, MeanResponseTime: 100 * time.Millisecond}, time.Unix(1000, 0))
 		n.link.Store(&gateLink{sink: nopSink{}})
-		targets.Add(n)
+		endpoints.Add(n)
 		all = append(all, n)
 	}
-	return targets, all
+	return endpoints, all
 }
 
 // chosen counts by index how often each gate is selected; the last count is that of no
 // gate.
-func chosen(targets *Targets, all []*Target, crit criteria) []int {
+func chosen(endpoints *Endpoints, all []*Endpoint, crit criteria) []int {
 	now := time.Unix(1000, 0)
 	counts := make([]int, len(all)+1)
 	crit.service = "a"
 	for range 4000 {
-		c := targets.choose(crit, now)
+		c := endpoints.choose(crit, now)
 		at := len(all)
 		for i, n := range all {
 			if n == c.endpoint {
@@ -60,72 +60,72 @@
 }
 
 func TestSelectionStaysInTheDataCentre(t *testing.T) {
-	targets, all := gates("OOoo")
-	counts := chosen(targets, all, criteria{})
+	endpoints, all := gates("OOoo")
+	counts := chosen(endpoints, all, criteria{})
 	assert.Less(t, counts[2]+counts[3], 100)
-	counts = chosen(targets, all, criteria{tried: all[:2]})
+	counts = chosen(endpoints, all, criteria{tried: all[:2]})
 	assert.Greater(t, counts[2]+counts[3], 3900, "any gate if the near ones were asked already")
-	counts = chosen(targets, all, criteria{tried: all[:2], nearOnly: true})
+	counts = chosen(endpoints, all, criteria{tried: all[:2], nearOnly: true})
 	assert.Equal(t, 4000, counts[4], "no gate of another data centre with nearOnly")
 }
 
 func TestOnlyRetryableOnTrial(t *testing.T) {
-	targets, all := gates("OOOT")
-	assert.Zero(t, chosen(targets, all, criteria{})[3])
-	tried := chosen(targets, all, criteria{retryable: true, allowTrials: true})[3]
-	assert.Zero(t, chosen(targets, all, criteria{retryable: true})[3], "without budget")
+	endpoints, all := gates("OOOT")
+	assert.Zero(t, chosen(endpoints, all, criteria{})[3])
+	tried := chosen(endpoints, all, criteria{retryable: true, allowTrials: true})[3]
+	assert.Zero(t, chosen(endpoints, all, criteria{retryable: true})[3], "without budget")
 	assert.InDelta(t, 4000*trialShare, tried, 150)
 }
 
 // TestFloor checks that gates on trial are forced to accept work when too few are open.
 func TestFloor(t *testing.T) {
-	targets, all := gates("TTTT")
-	c := targets.choose(criteria{service: "a"}, time.Unix(1000, 0))
+	endpoints, all := gates("TTTT")
+	c := endpoints.choose(criteria{service: "a"}, time.Unix(1000, 0))
 	assert.NotNil(t, c.endpoint)
 	assert.True(t, c.force)
 	_ = all
 }
 
 func TestSlowGateIsLastResort(t *testing.T) {
-	targets, all := gates("OOO")
+	endpoints, all := gates("OOO")
 	all[0].SetStatus(link.Status{Mode: link.ModeOpen, Slots: 4, MeanResponseTime: time.Second}, time.Unix(1000, 0))
-	counts := chosen(targets, all, criteria{})
+	counts := chosen(endpoints, all, criteria{})
 	assert.Less(t, counts[0], 100)
 	assert.Positive(t, counts[0], "it is explored now and then")
-	counts = chosen(targets, all, criteria{tried: all[1:]})
+	counts = chosen(endpoints, all, criteria{tried: all[1:]})
 	assert.Equal(t, 4000, counts[0])
 }
 
 func TestSuspectedGateIsAvoided(t *testing.T) {
-	targets, all := gates("OO")
+	endpoints, all := gates("OO")
 	now := time.Unix(1000, 0)
 	all[0].suspect(now)
-	assert.Zero(t, chosen(targets, all, criteria{})[0])
-	assert.Equal(t, all[0], targets.choose(criteria{service: "a", tried: all[1:]}, now).endpoint, "unless there is no other")
+	assert.Zero(t, chosen(endpoints, all, criteria{})[0])
+	assert.Equal(t, all[0], endpoints.choose(criteria{service: "a", tried: all[1:]}, now).endpoint, "unless there is no other")
 }
 
 func TestClosedOrUnreachableIsNeverChosen(t *testing.T) {
-	targets, all := gates("CO")
+	endpoints, all := gates("CO")
 	all[1].link.Store(nil)
-	assert.Equal(t, 4000, chosen(targets, all, criteria{retryable: true})[2])
+	assert.Equal(t, 4000, chosen(endpoints, all, criteria{retryable: true})[2])
 }
 
 // TestOldResponseTimeExpires guards against never selecting a gate again that was slow at
 // its last answer, so that its recovery goes unnoticed.
 func TestOldResponseTimeExpires(t *testing.T) {
-	targets, all := gates("OOO")
+	endpoints, all := gates("OOO")
 	now := time.Unix(1000, 0)
 	all[0].SetStatus(link.Status{Mode: link.ModeOpen, Slots: 4, MeanResponseTime: time.Second}, now.Add(-responseTimeTTL))
-	counts := chosen(targets, all, criteria{})
+	counts := chosen(endpoints, all, criteria{})
 	assert.InDelta(t, 4000/3, counts[0], 300)
 }
 
 // TestUnknownResponseTimeIsNoAdvantage guards against preferring a gate that has not
 // reported a response time.
 func TestUnknownResponseTimeIsNoAdvantage(t *testing.T) {
-	targets, all := gates("OOO")
+	endpoints, all := gates("OOO")
 	all[0].responseTime.mean.Store(0)
 	all[0].responseTime.until.Store(0)
-	counts := chosen(targets, all, criteria{})
+	counts := chosen(endpoints, all, criteria{})
 	assert.InDelta(t, 4000/3, counts[0], 300)
 }
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -38,7 +38,7 @@
 // Forwarder forwards callers' requests to gates and returns the answers.
 type Forwarder struct {
 	service   string // Service of the upstream beside this node.
-	endpoints *Targets
+	endpoints *Endpoints
 	dialect   port.Dialect
 	log       *zap.Logger
 	counters  Counters
@@ -64,9 +64,9 @@
 	return func(to *Forwarder) { to.parents = f }
 }
 
-// WithCrowd sets the function that reports whether the upstream beside this node has no
+// WithSaturation sets the function that reports whether the upstream beside this node has no
 // free slot.
-func WithCrowd(f func() bool) Option {
+func WithSaturation(f func() bool) Option {
 	return func(to *Forwarder) { to.saturated = f }
 }
 
@@ -77,7 +77,7 @@
 }
 
 // NewForwarder returns a forwarder without a configuration.
-func NewForwarder(service string, endpoints *Targets, dialect port.Dialect, log *zap.Logger, counters Counters, options ...Option) *Forwarder {
+func NewForwarder(service string, endpoints *Endpoints, dialect port.Dialect, log *zap.Logger, counters Counters, options ...Option) *Forwarder {
 	f := &Forwarder{
 		service:   service,
 		endpoints: endpoints,
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -19,8 +19,8 @@
 	frame    *link.Frame
 	key      uint64
 	lost     bool
-	endpoint *Target // Endpoint whose link was lost or is back.
-	finish   bool    // The node shuts down: the request ends with what is known of its outcome.
+	endpoint *Endpoint // Endpoint whose link was lost or is back.
+	finish   bool      // The node shuts down: the request ends with what is known of its outcome.
 }
 
 // inFlightRequest is a request that has no final answer yet.
@@ -32,14 +32,14 @@
 	regions        route.Regions  // Where it may run.
 	attempt        string
 	content        *link.Content
-	latency        *core.LatencyPercentile // Latency percentile of the route.
+	latency        *core.LatencyPercentile // Of the route.
 	arrived        time.Time
 	deadline       time.Time
 	requirements   overload.Requirements
 	saturated      func() bool // Reports whether the upstream beside this node has no free slot.
 	events         chan event
 	offers         []*offer
-	tried          []*Target
+	tried          []*Endpoint
 	offersMade     int                // Offers made, in all rounds.
 	runs           int                // Attempts that may have run.
 	deliveries     int                // Attempts that may have reached an upstream: runs, and those refused as shed or misdirected.
--- a/ingress/inflight_test.go
+++ b/ingress/inflight_test.go
@@ -34,23 +34,23 @@
 
 // newTestForwarder returns a forwarder without gates, of a node in the data centre "near".
 func newTestForwarder() *Forwarder {
-	return NewForwarder("caller", NewTargets("near", 0.7), platform.Headers{}, zap.NewNop(), noCounts{})
+	return NewForwarder("caller", NewEndpoints("near", 0.7), platform.Headers{}, zap.NewNop(), noCounts{})
 }
 
 // orderInFlight commits an order to the first of some gates. It returns the order, the
 // gates and their sinks.
-func orderInFlight(t *testing.T, now time.Time, gates int) (*inFlightRequest, []*Target, []*sentFrames) {
+func orderInFlight(t *testing.T, now time.Time, gates int) (*inFlightRequest, []*Endpoint, []*sentFrames) {
 	t.Helper()
 	f := newTestForwarder()
-	targets := f.endpoints
-	var all []*Target
+	endpoints := f.endpoints
+	var all []*Endpoint
 	var sinks []*sentFrames
 	for range gates {
-		n := NewTarget(link.Member{Service: "a", DataCentre: "near"})
+		n := NewEndpoint(link.Member{Service: "a", DataCentre: "near"})
 		n.SetStatus(link.Status{Mode: link.ModeOpen, Slots: 4}, time.Unix(1000, 0))
 		sink := &sentFrames{}
 		f.Connected(n, sink, 1)
-		targets.Add(n)
+		endpoints.Add(n)
 		all = append(all, n)
 		sinks = append(sinks, sink)
 	}
--- a/ingress/offer.go
+++ b/ingress/offer.go
@@ -27,7 +27,7 @@
 
 // offer is a request's offer to one gate.
 type offer struct {
-	endpoint  *Target
+	endpoint  *Endpoint
 	process   uint64 // Of the gate; a restarted gate has no record of the offer.
 	key       link.Key
 	state     offerState
--- a/ingress/replay_test.go
+++ b/ingress/replay_test.go
@@ -115,11 +115,11 @@
 }
 
 func (p *replay) newNode(centre string, table *route.Table, set switches.Set) *replayNode {
-	targets := NewTargets(centre, 0.7)
-	targets.SetSwitches(set)
-	targets.draw = p.random.Float64
+	endpoints := NewEndpoints(centre, 0.7)
+	endpoints.SetSwitches(set)
+	endpoints.draw = p.random.Float64
 	n := &replayNode{replay: p, centre: centre, requests: map[uint64]*replayRequest{}}
-	n.forwarder = NewForwarder("caller", targets, platform.Headers{}, zap.NewNop(), noCounts{},
+	n.forwarder = NewForwarder("caller", endpoints, platform.Headers{}, zap.NewNop(), noCounts{},
 		WithParents(func(attempt string) (overload.Parent, bool) {
 			parent, ok := p.parents[attempt]
 			return parent, ok
@@ -172,7 +172,7 @@
 		done(ok)
 	}
 	if caller != nil {
-		req.saturated = caller.admission.Crowded
+		req.saturated = caller.admission.Saturated
 	}
 	req.offerNext(p.now)
 	f.track()
--- a/ingress/replaygate_test.go
+++ b/ingress/replaygate_test.go
@@ -55,10 +55,10 @@
 
 // addEndpoint adds a gate to the node's endpoints.
 func (n *replayNode) addEndpoint(g *replayGate) {
-	target := NewTarget(link.Member{Name: g.name(), Service: g.service, DataCentre: g.centre})
-	target.SetStatus(g.admission.Status(), n.replay.now)
-	n.forwarder.endpoints.Add(target)
-	n.forwarder.Connected(target, replaySink{node: n, gate: g}, 1)
+	endpoint := NewEndpoint(link.Member{Name: g.name(), Service: g.service, DataCentre: g.centre})
+	endpoint.SetStatus(g.admission.Status(), n.replay.now)
+	n.forwarder.endpoints.Add(endpoint)
+	n.forwarder.Connected(endpoint, replaySink{node: n, gate: g}, 1)
 }
 
 // replaySink sends a node's messages to a gate.
@@ -90,8 +90,8 @@
 		o := f.Offer
 		g.runs[o.Key] = &replayRun{node: from, offer: o}
 		deadline := now.Add(o.TimeLeft)
-		g.update(gate.Offered{At: now, Key: o.Key, Service: o.Service, Upstream: o.Upstream, Deadline: deadline, Aim: g.admission.AimOf(now, deadline, o.Target),
-			Priority: o.Priority, Retryable: o.Retryable, Force: o.Force, Ready: o.Content != nil, Kind: o.Kind, Claim: o.AttemptKind})
+		g.update(gate.Offered{At: now, Key: o.Key, Service: o.Service, Upstream: o.Upstream, Deadline: deadline, TargetDeadline: g.admission.TargetDeadline(now, deadline, o.Target),
+			Priority: o.Priority, Retryable: o.Retryable, Force: o.Force, Ready: o.Content != nil, Kind: o.Kind, AttemptKind: o.AttemptKind})
 	case f.Commit != nil:
 		g.update(gate.Committed{At: now, Key: f.Commit.Key})
 	case f.Withdraw != nil:
@@ -108,7 +108,7 @@
 		case gate.Queue:
 			g.send(c.Key, &link.Frame{Queued: &link.Queued{Key: c.Key}})
 		case gate.Refuse:
-			g.send(c.Key, &link.Frame{Refused: &link.Refused{Key: c.Key, Reason: c.Reason, RetryAfter: c.After}})
+			g.send(c.Key, &link.Frame{Refused: &link.Refused{Key: c.Key, Reason: c.Reason, RetryAfter: c.RetryAfter}})
 		case gate.Warn:
 			g.send(c.Key, &link.Frame{Overdue: &link.Overdue{Key: c.Key}})
 		case gate.Start:
@@ -125,9 +125,9 @@
 func (g *replayGate) announce() {
 	s := g.admission.Status()
 	for _, n := range g.replay.nodes {
-		for _, t := range n.forwarder.endpoints.Of(g.service) {
-			if t.Member().Name == g.name() {
-				t.SetStatus(s, g.replay.now)
+		for _, e := range n.forwarder.endpoints.Of(g.service) {
+			if e.Member().Name == g.name() {
+				e.SetStatus(s, g.replay.now)
 			}
 		}
 	}
@@ -181,7 +181,7 @@
 			left--
 			switch {
 			case !ok:
-				g.finish(k, gate.CallFailed, p.now.Sub(began))
+				g.finish(k, gate.NestedFailed, p.now.Sub(began))
 			case left == 0:
 				g.finish(k, gate.Good, p.now.Sub(began))
 			}
@@ -202,7 +202,7 @@
 	switch o {
 	case gate.Good:
 		g.send(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusOK, MeanResponseTime: g.admission.Status().MeanResponseTime}})
-	case gate.CallFailed:
+	case gate.NestedFailed:
 		g.send(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusInternalServerError, MeanResponseTime: g.admission.Status().MeanResponseTime}})
 	case gate.Shed:
 		g.send(k, &link.Frame{Refused: &link.Refused{Key: k, Reason: link.ReasonShed}})
--- a/ingress/responsetime.go
+++ b/ingress/responsetime.go
@@ -35,7 +35,7 @@
 
 // medianResponseTime returns the median of the known mean response times, 0 if none is
 // known.
-func medianResponseTime(list []*Target, now time.Time) time.Duration {
+func medianResponseTime(list []*Endpoint, now time.Time) time.Duration {
 	times := make([]time.Duration, 0, len(list))
 	for _, n := range list {
 		if mean := n.responseTime.at(now); mean > 0 {
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -31,16 +31,16 @@
 	conns         map[*serverConn]bool
 }
 
-// defaultBodyMemory is the memory limit for request bodies, in bytes, unless WithRoom sets
+// defaultBodyMemory is the memory limit for request bodies, in bytes, unless WithBodyMemory sets
 // another.
 const defaultBodyMemory = 64 << 20
 
 // ServerOption configures a Server in NewServer.
 type ServerOption func(*Server)
 
-// WithRoom limits the memory for request bodies, in bytes. refused is called for each body
+// WithBodyMemory limits the memory for request bodies, in bytes. refused is called for each body
 // that is refused for lack of memory.
-func WithRoom(bytes int64, refused func()) ServerOption {
+func WithBodyMemory(bytes int64, refused func()) ServerOption {
 	return func(s *Server) {
 		s.bodyMemory = newBodyMemory(bytes)
 		s.onBodyRefused = refused
--- a/ingress/unresponsive.go
+++ b/ingress/unresponsive.go
@@ -17,9 +17,9 @@
 
 // suspect marks a gate that did not respond to an offer in time and pings it. Without the
 // ping, only further requests would find out whether the gate has recovered.
-func (t *Target) suspect(now time.Time) {
-	t.suspectedUntil.Store(now.Add(suspicionTime).UnixNano())
-	l := t.link.Load()
+func (e *Endpoint) suspect(now time.Time) {
+	e.suspectedUntil.Store(now.Add(suspicionTime).UnixNano())
+	l := e.link.Load()
 	if l == nil || !l.unansweredPing().IsZero() {
 		return
 	}
@@ -28,21 +28,21 @@
 }
 
 // suspected reports whether the gate is to be avoided.
-func (t *Target) suspected(now time.Time) bool {
-	return now.UnixNano() < t.suspectedUntil.Load() || !t.AskedAt().IsZero()
+func (e *Endpoint) suspected(now time.Time) bool {
+	return now.UnixNano() < e.suspectedUntil.Load() || !e.PingPendingSince().IsZero()
 }
 
 // unresponsive reports whether a ping reply is overdue, so that no request should wait for
 // the gate.
-func (t *Target) unresponsive(now time.Time) bool {
-	pinged := t.AskedAt()
+func (e *Endpoint) unresponsive(now time.Time) bool {
+	pinged := e.PingPendingSince()
 	return !pinged.IsZero() && !now.Before(pinged.Add(pingTimeout))
 }
 
-// AskedAt returns when the ping was sent that a suspected gate has not replied to; the
+// PingPendingSince returns when the ping was sent that a suspected gate has not replied to; the
 // zero time if there is none.
-func (t *Target) AskedAt() time.Time {
-	l := t.link.Load()
+func (e *Endpoint) PingPendingSince() time.Time {
+	l := e.link.Load()
 	if l == nil {
 		return time.Time{}
 	}
--- a/ingress/unresponsive_test.go
+++ b/ingress/unresponsive_test.go
@@ -19,11 +19,11 @@
 // pongSink is a sink with a settable time of the last ping reply.
 type pongSink struct {
 	sentFrames
-	ponged time.Time
+	lastPong time.Time
 }
 
 // LastPong returns when a ping was last replied to.
-func (s *pongSink) LastPong() time.Time { return s.ponged }
+func (s *pongSink) LastPong() time.Time { return s.lastPong }
 
 // pings counts the pings that were sent to the gate.
 func (s *pongSink) pings() int {
@@ -48,11 +48,11 @@
 
 // unresponsiveAndFull returns the forwarder of a service with a gate that does not respond
 // and a gate whose queue is full.
-func unresponsiveAndFull(now time.Time) (f *Forwarder, unresponsive, full *Target, sinks map[*Target]*pongSink) {
+func unresponsiveAndFull(now time.Time) (f *Forwarder, unresponsive, full *Endpoint, sinks map[*Endpoint]*pongSink) {
 	f = newTestForwarder()
-	sinks = map[*Target]*pongSink{}
+	sinks = map[*Endpoint]*pongSink{}
 	for range 2 {
-		n := NewTarget(link.Member{Service: "a", DataCentre: "near"})
+		n := NewEndpoint(link.Member{Service: "a", DataCentre: "near"})
 		n.SetStatus(link.Status{Mode: link.ModeOpen, Slots: 4}, now)
 		sinks[n] = &pongSink{}
 		f.Connected(n, sinks[n], 1)
@@ -77,7 +77,7 @@
 
 // refuseAll runs an order to its answer while the full gate refuses every offer and the
 // other gate does not respond. It returns how long that took.
-func refuseAll(t *testing.T, req *inFlightRequest, full *Target, now time.Time) time.Duration {
+func refuseAll(t *testing.T, req *inFlightRequest, full *Endpoint, now time.Time) time.Duration {
 	t.Helper()
 	req.offerNext(now)
 	for at := now; at.Before(req.deadline); at = req.nextWake() {
@@ -101,34 +101,34 @@
 // before the ping reply was overdue may be offered to the unresponsive gate.
 func TestOrdersSkipUnresponsiveGate(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	f, silent, full, sinks := unresponsiveAndFull(begin)
+	f, unresponsive, full, sinks := unresponsiveAndFull(begin)
 	for after := time.Duration(0); after < 4*time.Second; after += 50 * time.Millisecond {
 		refuseAll(t, newOrder(f, begin.Add(after)), full, begin.Add(after))
 	}
-	assert.LessOrEqual(t, sinks[silent].offers(), 12, "orders before the ping reply was overdue")
-	assert.Positive(t, sinks[silent].pings(), "it is pinged")
+	assert.LessOrEqual(t, sinks[unresponsive].offers(), 12, "orders before the ping reply was overdue")
+	assert.Positive(t, sinks[unresponsive].pings(), "it is pinged")
 }
 
 // TestGateReturnsWithPingReply checks that a gate that was unresponsive is selected like
 // any other once it replies to a ping.
 func TestGateReturnsWithPingReply(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	f, silent, full, sinks := unresponsiveAndFull(begin)
+	f, unresponsive, full, sinks := unresponsiveAndFull(begin)
 	refuseAll(t, newOrder(f, begin), full, begin)
-	require.Positive(t, sinks[silent].pings())
+	require.Positive(t, sinks[unresponsive].pings())
 	later := begin.Add(5 * time.Second)
-	crit := criteria{service: "a", tried: []*Target{full}}
+	crit := criteria{service: "a", tried: []*Endpoint{full}}
 	assert.Nil(t, f.endpoints.choose(crit, later).endpoint, "it has not replied")
-	sinks[silent].ponged = begin.Add(4 * time.Second)
-	assert.Equal(t, silent, f.endpoints.choose(crit, later).endpoint)
+	sinks[unresponsive].lastPong = begin.Add(4 * time.Second)
+	assert.Equal(t, unresponsive, f.endpoints.choose(crit, later).endpoint)
 }
 
 // TestUnresponsiveGatesAreLastResort checks that unresponsive gates are asked if a service
 // has no others: this node may be the one that receives nothing.
 func TestUnresponsiveGatesAreLastResort(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	f, silent, full, _ := unresponsiveAndFull(begin)
+	f, unresponsive, full, _ := unresponsiveAndFull(begin)
 	f.endpoints.Remove(full)
-	silent.suspect(begin)
-	assert.Equal(t, silent, f.endpoints.choose(criteria{service: "a"}, begin.Add(5*time.Second)).endpoint)
+	unresponsive.suspect(begin)
+	assert.Equal(t, unresponsive, f.endpoints.choose(criteria{service: "a"}, begin.Add(5*time.Second)).endpoint)
 }
--- a/mesh/dump.go
+++ b/mesh/dump.go
@@ -49,12 +49,12 @@
 		Configuration: version,
 		Ready:         n.ready(),
 		Evacuated:     n.evacuation.list(),
-		Gate:          gateDump{Mode: s.Mode.String(), Upstream: s.Upstream, Slots: s.Slots, InFlight: n.gate.Busy(), Suspicion: s.Suspicion},
+		Gate:          gateDump{Mode: s.Mode.String(), Upstream: s.Upstream, Slots: s.Slots, InFlight: n.gate.ActiveOffers(), Suspicion: s.Suspicion},
 	}
 	for _, p := range n.links.all() {
-		t := p.currentEndpoint()
-		s := t.Status()
-		d.Peers = append(d.Peers, peerDump{Member: t.Member(), Reachable: t.Reachable(), Mode: s.Mode.String(), Upstream: s.Upstream})
+		e := p.currentEndpoint()
+		s := e.Status()
+		d.Peers = append(d.Peers, peerDump{Member: e.Member(), Reachable: e.Reachable(), Mode: s.Mode.String(), Upstream: s.Upstream})
 	}
 	for _, u := range n.limits.uses() {
 		d.Accounts = append(d.Accounts, accountDump{Name: u.Account, Rate: u.Limit.Rate, Burst: u.Limit.Burst, Left: u.Left, Capacity: u.Depth})
--- a/mesh/inbound.go
+++ b/mesh/inbound.go
@@ -103,7 +103,7 @@
 	l.mu.Lock()
 	delete(l.inbound, in)
 	l.mu.Unlock()
-	l.node.gate.Lost(in)
+	l.node.gate.LinkLost(in)
 	l.node.limits.linkRemoved(in)
 	l.node.log.Debug("inbound link ended", zap.String("from", in.RemoteAddr()), zap.Error(err))
 }
--- a/mesh/join_test.go
+++ b/mesh/join_test.go
@@ -20,7 +20,7 @@
 	for _, name := range others {
 		m := link.Member{Name: name, Address: name}
 		n.links.view.Update(membership.Received{At: time.Now(), Records: []link.Record{{Member: m}}})
-		n.links.peers[name] = &peer{links: n.links, endpoint: ingress.NewTarget(m)}
+		n.links.peers[name] = &peer{links: n.links, endpoint: ingress.NewEndpoint(m)}
 	}
 	return n
 }
@@ -33,7 +33,7 @@
 		begin := time.Now()
 		time.AfterFunc(2*joinPoll, func() { n.directory.discovered.Store(true) })
 		time.AfterFunc(4*joinPoll, func() {
-			f := ingress.NewForwarder("", ingress.NewTargets("", 0), nil, nil, nil)
+			f := ingress.NewForwarder("", ingress.NewEndpoints("", 0), nil, nil, nil)
 			f.Connected(n.links.peers["a"].endpoint, localSink{n}, 1)
 			f.Connected(n.links.peers["b"].endpoint, localSink{n}, 1)
 		})
--- a/mesh/links.go
+++ b/mesh/links.go
@@ -24,7 +24,7 @@
 // selects; links that others dial are served by this node's gate.
 type links struct {
 	node          *Node
-	localEndpoint *ingress.Target
+	localEndpoint *ingress.Endpoint
 	localIP       net.IP // Source address for dialing.
 	mu            sync.Mutex
 	ctx           context.Context // Ends with the node.
--- a/mesh/local.go
+++ b/mesh/local.go
@@ -10,7 +10,7 @@
 // addLocal adds the own gate as an endpoint without a link.
 func (l *links) addLocal() {
 	n := l.node
-	l.localEndpoint = ingress.NewTarget(n.self)
+	l.localEndpoint = ingress.NewEndpoint(n.self)
 	n.forwarder.Connected(l.localEndpoint, localSink{n}, n.process)
 	n.endpoints.Add(l.localEndpoint)
 }
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -201,8 +201,8 @@
 	one.start()
 	one.report(2, false)
 	require.Eventually(t, func() bool {
-		for _, target := range other.endpoints.Of("marriages") {
-			if target.Member().Name == "new" && target.Status().Mode == link.ModeOpen && target.Reachable() {
+		for _, endpoint := range other.endpoints.Of("marriages") {
+			if endpoint.Member().Name == "new" && endpoint.Status().Mode == link.ModeOpen && endpoint.Reachable() {
 				return true
 			}
 		}
--- a/mesh/node.go
+++ b/mesh/node.go
@@ -32,7 +32,7 @@
 	metrics      *Metrics
 	self         link.Member
 	process      uint64 // Identifies this process; differs after a restart.
-	endpoints    *ingress.Targets
+	endpoints    *ingress.Endpoints
 	forwarder    *ingress.Forwarder
 	budget       *budget.Budget
 	gate         *gate.Gate
@@ -56,7 +56,7 @@
 		metrics:   metrics,
 		self:      link.Member{Name: s.Node(), Address: s.Advertised(), DataCentre: s.DataCentre(), Service: s.Service()},
 		process:   rand.Uint64(),
-		endpoints: ingress.NewTargets(s.DataCentre(), s.FloorShare()),
+		endpoints: ingress.NewEndpoints(s.DataCentre(), s.FloorShare()),
 	}
 	ratio, slack := s.Retries()
 	n.budget = budget.New(ratio, slack, time.Now())
@@ -67,12 +67,12 @@
 	n.quarantine = newQuarantineSync(n)
 	n.forwarder = ingress.NewForwarder(s.Service(), n.endpoints, p.Dialect, log, metrics,
 		ingress.WithParents(func(attempt string) (overload.Parent, bool) { return n.gate.Parent(attempt) }),
-		ingress.WithCrowd(func() bool { return n.gate.Crowded() }),
+		ingress.WithSaturation(func() bool { return n.gate.Saturated() }),
 		ingress.WithLimits(n.limits),
 		ingress.WithQuarantine(n.quarantine.tracker),
-		ingress.WithFailures(func(arrived time.Time) { n.gate.NoteFailure(arrived) }))
+		ingress.WithFailures(func(arrived time.Time) { n.gate.RecordFailure(arrived) }))
 	n.server = ingress.NewServer(n.forwarder.Serve, n.callerLimits,
-		ingress.WithRoom(s.BodyMemory(), func() { metrics.Count("body_without_room") }))
+		ingress.WithBodyMemory(s.BodyMemory(), func() { metrics.Count("body_without_room") }))
 	n.directory = newDirectory(n)
 	n.config = newConfiguration(n)
 	n.evacuation = newEvacuation(n)
--- a/mesh/peer.go
+++ b/mesh/peer.go
@@ -37,7 +37,7 @@
 	draining atomic.Bool // The link closes once no work is left on it.
 	mu       sync.Mutex
 	member   link.Member
-	endpoint *ingress.Target
+	endpoint *ingress.Endpoint
 	link     *link.Link // nil while there is none.
 	version  uint64     // Highest configuration version that the node is known to have.
 	pinged   time.Time  // When check last pinged the link; zero on a new link.
@@ -47,7 +47,7 @@
 // newPeer returns a peer that is dialed once run is called. The lock of links must be held.
 func newPeer(l *links, m link.Member) *peer {
 	ctx, cancel := context.WithCancel(l.ctx)
-	return &peer{links: l, address: m.Address, ctx: ctx, cancel: cancel, member: m, endpoint: ingress.NewTarget(m), seen: time.Now()}
+	return &peer{links: l, address: m.Address, ctx: ctx, cancel: cancel, member: m, endpoint: ingress.NewEndpoint(m), seen: time.Now()}
 }
 
 // close closes the link and stops dialing.
@@ -148,7 +148,7 @@
 	old := p.endpoint
 	if h.Member != p.member {
 		p.member = h.Member
-		p.endpoint = ingress.NewTarget(h.Member)
+		p.endpoint = ingress.NewEndpoint(h.Member)
 	}
 	endpoint := p.endpoint
 	p.mu.Unlock()
@@ -182,7 +182,7 @@
 func (p *peer) uses(l *link.Link) bool { return p.currentLink() == l }
 
 // currentEndpoint returns the gate that is at the address now.
-func (p *peer) currentEndpoint() *ingress.Target {
+func (p *peer) currentEndpoint() *ingress.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoint
@@ -219,7 +219,7 @@
 		bound = busyPingAfter
 	}
 	pinged := p.pinged
-	if at := p.endpoint.AskedAt(); pinged.Before(at) {
+	if at := p.endpoint.PingPendingSince(); pinged.Before(at) {
 		pinged = at // Pinged by the endpoint after an unanswered offer, however active the link was before.
 	}
 	switch {
--- a/mesh/quarantine_test.go
+++ b/mesh/quarantine_test.go
@@ -265,7 +265,7 @@
 		go b.nodes[i].ask(ctx, e.method, e.path, fmt.Sprintf("leaves-%d", i)) //nolint:errcheck // The caller leaves.
 		n := <-begun
 		leave()
-		require.Eventually(t, func() bool { return n.gate.Busy() == 0 }, waitTimeout, time.Millisecond)
+		require.Eventually(t, func() bool { return n.gate.ActiveOffers() == 0 }, waitTimeout, time.Millisecond)
 		ended := make(chan error, 1)
 		go func() { ended <- n.upstream.crash(restartDelay) }()
 		left <- struct{}{}
--- a/mesh/stop.go
+++ b/mesh/stop.go
@@ -34,7 +34,7 @@
 	time.Sleep(min(unreadyTime, n.settings.Load().Grace()/2))
 	n.gate.Stop()
 	_ = l.callers.Close()
-	for time.Now().Before(kill) && (n.server.CloseIdle() > 0 || n.gate.Busy() > 0) {
+	for time.Now().Before(kill) && (n.server.CloseIdle() > 0 || n.gate.ActiveOffers() > 0) {
 		time.Sleep(stopPoll)
 	}
 	n.forwarder.Finish() // Requests whose outcome is unknown get an answer instead of a broken connection.
@@ -42,8 +42,8 @@
 		time.Sleep(stopPoll)
 	}
 	time.Sleep(flushTime)
-	if n.server.CloseIdle() > 0 || n.gate.Busy() > 0 {
-		n.log.Warn("stopped with requests in flight", zap.Int("attempts", n.gate.Busy()), zap.Int("connections", n.server.CloseIdle()))
+	if n.server.CloseIdle() > 0 || n.gate.ActiveOffers() > 0 {
+		n.log.Warn("stopped with requests in flight", zap.Int("attempts", n.gate.ActiveOffers()), zap.Int("connections", n.server.CloseIdle()))
 	}
 	for _, o := range []net.Listener{l.links, l.reports, l.ready, l.metrics} {
 		if o != nil {
--- a/mesh/watch.go
+++ b/mesh/watch.go
@@ -44,7 +44,7 @@
 	pause := backoff{min: watchRetry, max: watchRetryMax}
 	at := c.initialRead(ctx)
 	c.node.awaitJoin(ctx)
-	c.node.endpoints.SetMet()
+	c.node.endpoints.SetJoined()
 	if version, _ := c.current(); version > 0 && !c.node.links.amongFirst(c.watchers) {
 		c.awaitPoll(ctx)
 	}
