--- a/admin/publish.go
+++ b/admin/publish.go
@@ -40,7 +40,7 @@
 		}
 		// After the store was restored from a backup, its sequence may be lower than
 		// that in force on the nodes, which would ignore the change.
-		shard.Sequence = max(shard.Sequence, s.node.Holder().Now().Sequences()[key])
+		shard.Sequence = max(shard.Sequence, s.node.Holder().Snapshot().Sequences()[key])
 		change := config.Change{PublishID: publishID, Publisher: teamOf(ctx).Name, At: time.Now().UTC()}
 		change, err = e(shard, change)
 		if err != nil {
@@ -58,7 +58,7 @@
 		}
 		if swapped {
 			s.audit(ctx, key, change)
-			s.node.Applied(key, entry.Value)
+			s.node.ApplyPublished(key, entry.Value)
 			return change, nil
 		}
 	}
--- a/admin/show.go
+++ b/admin/show.go
@@ -22,7 +22,7 @@
 	var found []*adminapi.Revision
 	for _, key := range keys {
 		place, err := config.ParseKey(key)
-		if err != nil || !place.Itself {
+		if err != nil || !place.IsTemplate {
 			continue
 		}
 		_, shard, err := s.read(ctx, key)
--- a/bench/cmd/trial/watch.go
+++ b/bench/cmd/trial/watch.go
@@ -80,7 +80,7 @@
 	ejected := map[string]bool{}
 	for _, s := range g.Services {
 		for _, u := range s.Upstreams {
-			if u.Phase == "out" || u.Phase == "trial" || u.Avoid < ejectedWeight {
+			if u.Phase == "out" || u.Phase == "trial" || u.OwnWeight < ejectedWeight {
 				ejected[u.Name] = true
 			}
 		}
@@ -149,7 +149,7 @@
 		if err != nil {
 			d = node.Dump{}
 		}
-		u.sent = append(u.sent, float64(d.SentBytes+d.Received))
+		u.sent = append(u.sent, float64(d.SentBytes+d.ReceivedBytes))
 	}
 	return u
 }
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -280,7 +280,7 @@
 		}
 	}
 	n.current.Store(&nodeProcess{p, addresses["callers"], addresses["admin"], peers})
-	return f.Register(node.NodeList(f.Deployment.Name), n.Name, peers, n.dataCentre, port.Live)
+	return f.Register(node.ListName(f.Deployment.Name), n.Name, peers, n.dataCentre, port.Live)
 }
 
 // Restart starts a node whose process has exited.
--- a/bench/soak/evacuation.go
+++ b/bench/soak/evacuation.go
@@ -70,12 +70,12 @@
 // configuration and evacuations again, as operators do after a restore.
 func (s *soak) restoreStore(ctx context.Context, _ *node) string {
 	store := s.store.Directory()
-	copied := store.Copy()
+	backup := store.Backup()
 	age := s.randomDuration(maxCopyAge)
 	time.Sleep(age)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	store.Restore(copied)
+	store.Restore(backup)
 	if err := store.Put(ctx, "op/config", configurationText(s.version, s.options.Accounts)); err != nil {
 		return "store restored without its configuration: " + err.Error()
 	}
--- a/bench/standin/metadata.go
+++ b/bench/standin/metadata.go
@@ -58,7 +58,7 @@
 // SetFaults replaces the faults.
 func (m *Metadata) SetFaults(f MetadataFaults) {
 	m.faults.Store(&f)
-	m.directory.SetFaults(memory.Faults{Deaf: f.Deaf})
+	m.directory.SetFaults(memory.Faults{DropChanges: f.Deaf})
 }
 
 // Calls returns the number of requests received, other than control requests.
--- a/bench/standin/metadatacalls.go
+++ b/bench/standin/metadatacalls.go
@@ -105,7 +105,7 @@
 		http.Error(w, "after or waitMs", http.StatusBadRequest)
 		return
 	}
-	era := m.directory.Moment().Era // The protocol does not carry the caller's era.
+	era := m.directory.Revision().Era // The protocol does not carry the caller's era.
 	entries, at, err := m.directory.Watch(r.Context(), q.Get("pathPrefix"), port.StoreRevision{Era: era, Revision: after}, time.Duration(wait)*time.Millisecond)
 	if writeError(w, at, err) {
 		return
@@ -131,14 +131,14 @@
 			http.Error(w, "not yours", http.StatusForbidden)
 			return
 		}
-		if writeError(w, m.directory.Moment(), m.directory.Put(r.Context(), s.Key, s.Value)) {
+		if writeError(w, m.directory.Revision(), m.directory.Put(r.Context(), s.Key, s.Value)) {
 			return
 		}
 	}
 	for _, key := range t.Remove {
-		if writeError(w, m.directory.Moment(), m.directory.Remove(r.Context(), key)) {
+		if writeError(w, m.directory.Revision(), m.directory.Remove(r.Context(), key)) {
 			return
 		}
 	}
-	writeStatusJSON(w, http.StatusOK, map[string]any{"revision": m.directory.Moment().Revision})
+	writeStatusJSON(w, http.StatusOK, map[string]any{"revision": m.directory.Revision().Revision})
 }
--- a/cmd/eiderfold/dev.go
+++ b/cmd/eiderfold/dev.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	list.Put(node.NodeList(sampleName), port.Instance{Name: s.Node(), Address: n.PeerAddress(), DataCentre: sampleDataCentre, State: port.Live})
+	list.Put(node.ListName(sampleName), port.Instance{Name: s.Node(), Address: n.PeerAddress(), DataCentre: sampleDataCentre, State: port.Live})
 	go announce(c, ports)
 	api := admin.New(n, store, s.Teams(), log)
 	return n.Run(c.Context(), api.Handler(), nil)
--- a/cmd/eiderfold/run.go
+++ b/cmd/eiderfold/run.go
@@ -89,9 +89,9 @@
 		return err
 	}
 	report := func(err error) { log.Error("keys not reloaded; the old ones stay in use", zap.Error(err)) }
-	go peers.Follow(c.Context().Done(), report)
+	go peers.ReloadUntil(c.Context().Done(), report)
 	if callers != nil {
-		go callers.Follow(c.Context().Done(), report)
+		go callers.ReloadUntil(c.Context().Done(), report)
 	}
 	platform := consul.New(s.PlatformAddress(),
 		consul.WithToken(s.PlatformToken()),
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -112,11 +112,11 @@
 		require.NoError(t, err)
 		assert.Equal(t, step.changed, changed)
 	}
-	assert.Equal(t, 1, h.Now().Template("t").Service("s").Floor())
+	assert.Equal(t, 1, h.Snapshot().Template("t").Service("s").Floor())
 	corrupted := []byte(strings.Replace(string(second), "floor: 1", "floor: 3", 1))
 	_, err := h.Apply(TemplateKey("t"), corrupted)
 	assert.ErrorContains(t, err, "corrupted")
-	assert.Equal(t, uint64(2), h.Now().Sequences()[TemplateKey("t")])
+	assert.Equal(t, uint64(2), h.Snapshot().Sequences()[TemplateKey("t")])
 }
 
 // TestAccountsBeforeTheirTemplate applies an account shard before the shard of its
@@ -127,17 +127,17 @@
 	accounts.PutAccount(Change{PublishID: "b"}, "oficina-07", map[string]string{"office": "7"})
 	_, err := h.Apply(AccountKey("t", "oficina-07"), encoded(t, accounts))
 	require.NoError(t, err)
-	_, a, _ := h.Now().Find("oficina-07", "GET", "/births/1")
+	_, a, _ := h.Snapshot().Find("oficina-07", "GET", "/births/1")
 	assert.Nil(t, a)
 	_, err = h.Apply(TemplateKey("t"), encoded(t, template))
 	require.NoError(t, err)
-	_, a, r := h.Now().Find("oficina-07", "GET", "/births/1")
+	_, a, r := h.Snapshot().Find("oficina-07", "GET", "/births/1")
 	require.NotNil(t, a)
 	require.NotNil(t, r)
 	accounts.RemoveAccount(Change{PublishID: "c"}, "oficina-07")
 	_, err = h.Apply(AccountKey("t", "oficina-07"), encoded(t, accounts))
 	require.NoError(t, err)
-	_, a, _ = h.Now().Find("oficina-07", "GET", "/births/1")
+	_, a, _ = h.Snapshot().Find("oficina-07", "GET", "/births/1")
 	assert.Nil(t, a)
 }
 
@@ -149,7 +149,7 @@
 		_, err := h.Apply(key, encoded(t, s))
 		require.NoError(t, err)
 	}
-	assert.Zero(t, testing.AllocsPerRun(100, func() { h.Now().Find("oficina-07", "GET", "/births/118") }))
+	assert.Zero(t, testing.AllocsPerRun(100, func() { h.Snapshot().Find("oficina-07", "GET", "/births/118") }))
 }
 
 func BenchmarkFind(b *testing.B) {
@@ -177,7 +177,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				h.Now().Find("account-77", "GET", "/births/118")
+				h.Snapshot().Find("account-77", "GET", "/births/118")
 			}
 		})
 	}
--- a/config/holder.go
+++ b/config/holder.go
@@ -92,8 +92,8 @@
 	return h
 }
 
-// Now returns the current snapshot.
-func (h *Holder) Now() *Snapshot { return h.now.Load() }
+// Snapshot returns the current snapshot.
+func (h *Holder) Snapshot() *Snapshot { return h.now.Load() }
 
 // Shard returns the value of a shard as received, or nil if there is none.
 func (h *Holder) Shard(key string) []byte {
@@ -115,12 +115,12 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	old := h.Now()
+	old := h.Snapshot()
 	if shard.Sequence <= old.sequences[key] {
 		return false, nil
 	}
 	next := &Snapshot{templates: slices.Clone(old.templates), sequences: maps.Clone(old.sequences)}
-	if parsed.Itself {
+	if parsed.IsTemplate {
 		err = h.setTemplate(next, parsed.Template, shard)
 	} else {
 		next.setBucket(parsed, shard)
--- a/config/shard.go
+++ b/config/shard.go
@@ -86,9 +86,9 @@
 
 // ShardKey is a parsed configuration key.
 type ShardKey struct {
-	Template string
-	Itself   bool // Key of the template shard, not of an account bucket.
-	Bucket   int
+	Template   string
+	IsTemplate bool // Key of the template shard, not of an account bucket.
+	Bucket     int
 }
 
 // ParseKey parses a configuration key. Other keys with the same prefix, such as a
@@ -100,7 +100,7 @@
 	}
 	template, kind, _ := strings.Cut(rest, "/")
 	if kind == templateKind {
-		return ShardKey{Template: template, Itself: true}, nil
+		return ShardKey{Template: template, IsTemplate: true}, nil
 	}
 	number, ok := strings.CutPrefix(kind, accountKindPrefix)
 	bucket, err := strconv.Atoi(number)
--- a/config/template.go
+++ b/config/template.go
@@ -85,11 +85,11 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return s.name }
 
-// List returns the service's name in the platform's instance list.
-func (s *Service) List() string { return s.list }
+// ListName returns the service's name in the platform's instance list.
+func (s *Service) ListName() string { return s.list }
 
-// Expected returns the number of upstreams of the service in normal operation.
-func (s *Service) Expected() int { return s.expected }
+// ExpectedUpstreams returns the number of upstreams of the service in normal operation.
+func (s *Service) ExpectedUpstreams() int { return s.expected }
 
 // Floor returns the minimum number of upstreams that must not be ejected.
 func (s *Service) Floor() int { return s.floor }
--- a/gate/admission.go
+++ b/gate/admission.go
@@ -227,7 +227,7 @@
 // answer it. While nothing else runs, one goes ahead: a service may have no other requests, and
 // without any attempt the evidence would never change.
 func (a *Admission) mustWait(at time.Time, e *entry) bool {
-	if e.Retryable || e.Force || a.busy() == 0 || !a.switches.On(switches.Hold) {
+	if e.Retryable || e.Force || a.busy() == 0 || !a.switches.On(switches.HoldUnresponsive) {
 		return false
 	}
 	return a.evidence(at) >= holdEvidence
--- a/gate/attempt.go
+++ b/gate/attempt.go
@@ -56,7 +56,7 @@
 	}
 	frame, outcome := g.result(ao, a, f)
 	g.updateQuarantine(ao, frame, outcome, upstream, started, f)
-	if outcome == Erred && g.switches.On(switches.OwnCalls) && g.nestedRequestFailed(started, time.Now()) {
+	if outcome == Erred && g.switches.On(switches.NestedRequests) && g.nestedRequestFailed(started, time.Now()) {
 		outcome = NestedFailed
 	}
 	g.log.Debug("attempt ended", zap.String("attempt", ao.offer.Attempt), zap.Stringer("upstream", upstream),
--- a/gate/reconcile.go
+++ b/gate/reconcile.go
@@ -27,10 +27,10 @@
 			a.bad(at, suspicionHang)
 		}
 	}
-	if !a.trial && a.switches.On(switches.Silence) && a.unresponsive(at) {
+	if !a.trial && a.switches.On(switches.HangDetection) && a.unresponsive(at) {
 		a.beginHangTrial(at)
 	}
-	if a.trial && a.switches.On(switches.Warnings) {
+	if a.trial && a.switches.On(switches.OverdueNotices) {
 		out = append(out, a.warn(at)...)
 	}
 	return out
--- a/ingress/choose.go
+++ b/ingress/choose.go
@@ -143,7 +143,7 @@
 	if !e.switches.On(switches.SlowLast) {
 		pool = open
 	}
-	if e.draw() > farShare && e.switches.On(switches.Near) {
+	if e.draw() > farShare && e.switches.On(switches.PreferLocal) {
 		pool = e.nearFirst(pool)
 	}
 	if e.draw() < exploreShare {
--- a/ingress/endpoint.go
+++ b/ingress/endpoint.go
@@ -143,7 +143,7 @@
 	if slices.Contains(*e.evacuated.Load(), dataCentre) {
 		return false
 	}
-	return !regions.Bound() || regions.Allow(e.regions[dataCentre])
+	return !regions.Restricted() || regions.Allow(e.regions[dataCentre])
 }
 
 // SetFloorShare sets the share of a service's gates that must stay in use despite
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -163,8 +163,8 @@
 	}
 	deadline := r.Arrived.Add(callerTimeout(metadata.Timeout, matched.Timeout))
 	requirements := overload.NewRequirements(matched.Priority, r.Arrived, matched.Target, deadline).ForAccount(table.Priority(matched, account))
-	if isNested && f.endpoints.switches.On(switches.CallTerms) {
-		requirements = requirements.ForAccount(table.CallPriority(matched, parent.Priority)).ForNested(parent)
+	if isNested && f.endpoints.switches.On(switches.NestedRequirements) {
+		requirements = requirements.ForAccount(table.NestedPriority(matched, parent.Priority)).ForNested(parent)
 	}
 	return &inFlightRequest{
 		forwarder:    f,
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -109,7 +109,7 @@
 		retryable:   f.route.Retryable,
 		allowTrials: f.runs+1 < f.route.Attempts && !f.forwarder.endpoints.budgetExhausted(f.service, now),
 		priority:    f.requirements.Priority(),
-		nearOnly:    len(f.offers) > 0 && !f.busy() && now.Before(f.arrived.Add(f.farAfter())) && f.forwarder.endpoints.switches.On(switches.Near),
+		nearOnly:    len(f.offers) > 0 && !f.busy() && now.Before(f.arrived.Add(f.farAfter())) && f.forwarder.endpoints.switches.On(switches.PreferLocal),
 		tried:       f.tried,
 		regions:     f.regions,
 	}
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -6,9 +6,9 @@
 //	authority, err := keys.NewAuthority("montevideo")
 //	pair, err := authority.Issue("node-1", []string{"10.0.0.1"})
 //	files, err := keys.Load(certPath, keyPath, caPath)
-//	tlsConfig := files.Mutual()
+//	tlsConfig := files.MutualTLS()
 //
-// Follow reloads the files every few seconds, so a rotation needs no restart.
+// ReloadUntil reloads the files every few seconds, so a rotation needs no restart.
 package keys
 
 import (
@@ -197,9 +197,9 @@
 	return m.set(Pair{Certificate: texts[0], Key: texts[1]}, texts[2])
 }
 
-// Follow reloads the files every reloadPeriod until stop is closed, and passes errors
+// ReloadUntil reloads the files every reloadPeriod until stop is closed, and passes errors
 // to report. It returns at once if the material was not loaded from files.
-func (m *Material) Follow(stop <-chan struct{}, report func(error)) {
+func (m *Material) ReloadUntil(stop <-chan struct{}, report func(error)) {
 	if m.paths[0] == "" {
 		return
 	}
@@ -230,10 +230,10 @@
 	return nil
 }
 
-// Mutual returns a client and server configuration for mutual TLS between nodes.
+// MutualTLS returns a client and server configuration for mutual TLS between nodes.
 // Certificate and authorities are read at each handshake, so reloaded files apply to
 // new connections.
-func (m *Material) Mutual() *tls.Config {
+func (m *Material) MutualTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion:           tls.VersionTLS13,
 		ServerName:           ServerName,
@@ -245,9 +245,9 @@
 	}
 }
 
-// Server returns a server configuration for callers and operators, which need no
+// ServerTLS returns a server configuration for callers and operators, which need no
 // client certificate.
-func (m *Material) Server() *tls.Config {
+func (m *Material) ServerTLS() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &m.current.Load().certificate, nil },
--- a/keys/keys_test.go
+++ b/keys/keys_test.go
@@ -32,14 +32,14 @@
 	go func() {
 		far, err := l.Accept()
 		if err == nil {
-			err = tls.Server(far, server.Mutual()).Handshake()
+			err = tls.Server(far, server.MutualTLS()).Handshake()
 			_ = far.Close()
 		}
 		failed <- err
 	}()
 	near, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
-	err = tls.Client(near, client.Mutual()).Handshake()
+	err = tls.Client(near, client.MutualTLS()).Handshake()
 	_ = near.Close() // Unblocks a server that still waits for the client.
 	if serverErr := <-failed; err == nil {
 		err = serverErr
--- a/memory/directory.go
+++ b/memory/directory.go
@@ -13,9 +13,9 @@
 
 // Faults selects the faults that a Directory simulates.
 type Faults struct {
-	Out        bool // Every call fails without effect.
-	LoseWrites bool // Writes take effect but return port.ErrUnknown.
-	Deaf       bool // Watches return no changes before their wait expires.
+	Outage           bool // Every call fails without effect.
+	LoseWriteReplies bool // Writes take effect but return port.ErrUnknown.
+	DropChanges      bool // Watches return no changes before their wait expires.
 }
 
 // Directory is a port.Directory in memory with fault injection.
@@ -58,41 +58,41 @@
 	d.compactedTo = d.revision
 }
 
-// Copy is a backup of a directory's contents.
-type Copy struct {
+// Backup is a backup of a directory's contents.
+type Backup struct {
 	entries  map[string]port.Entry
 	revision uint64
 }
 
-// Copy returns a backup of the directory's current contents.
-func (d *Directory) Copy() Copy {
+// Backup returns a backup of the directory's current contents.
+func (d *Directory) Backup() Backup {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return Copy{entries: maps.Clone(d.entries), revision: d.revision}
+	return Backup{entries: maps.Clone(d.entries), revision: d.revision}
 }
 
 // Restore restores a backup. Later writes are lost, revisions continue from that of the
 // backup in a new era, and waiting watches end.
-func (d *Directory) Restore(c Copy) {
+func (d *Directory) Restore(b Backup) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.entries = maps.Clone(c.entries)
-	d.revision = c.revision
-	d.history = slices.DeleteFunc(d.history, func(e port.Entry) bool { return e.Version > c.revision })
-	d.compactedTo = min(d.compactedTo, c.revision)
+	d.entries = maps.Clone(b.entries)
+	d.revision = b.revision
+	d.history = slices.DeleteFunc(d.history, func(e port.Entry) bool { return e.Version > b.revision })
+	d.compactedTo = min(d.compactedTo, b.revision)
 	d.era++
 	d.notifyWatchers()
 }
 
-// Moment returns the directory's current era and revision.
-func (d *Directory) Moment() port.StoreRevision {
+// Revision returns the directory's current era and revision.
+func (d *Directory) Revision() port.StoreRevision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.moment()
+	return d.currentRevision()
 }
 
-// moment is Moment with the lock held.
-func (d *Directory) moment() port.StoreRevision {
+// currentRevision is Revision with the lock held.
+func (d *Directory) currentRevision() port.StoreRevision {
 	return port.StoreRevision{Era: d.era, Revision: d.revision}
 }
 
@@ -105,9 +105,9 @@
 	}
 	e, ok := d.entries[key]
 	if !ok {
-		return port.Entry{Key: key}, d.moment(), port.ErrMissing
+		return port.Entry{Key: key}, d.currentRevision(), port.ErrMissing
 	}
-	return e, d.moment(), nil
+	return e, d.currentRevision(), nil
 }
 
 // pageEntries is the maximum number of entries in a page.
@@ -146,7 +146,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b port.Entry) int { return strings.Compare(a.Key, b.Key) })
-	return out, d.moment(), nil
+	return out, d.currentRevision(), nil
 }
 
 // Watch implements port.Directory.
@@ -170,7 +170,7 @@
 }
 
 // changesAfter returns the changes below a prefix after a revision, and a channel that is
-// closed with the next change. With the fault Deaf it finds changes only if the watch's
+// closed with the next change. With the fault DropChanges it finds changes only if the watch's
 // wait has expired.
 func (d *Directory) changesAfter(prefix string, after port.StoreRevision, expired bool) ([]port.Entry, port.StoreRevision, chan struct{}, error) {
 	d.mu.Lock()
@@ -181,7 +181,7 @@
 	if after.Revision < d.compactedTo || after.Revision > d.revision || after.Era != d.era {
 		return nil, port.StoreRevision{}, nil, port.ErrCompacted
 	}
-	if d.faults.Deaf && !expired {
+	if d.faults.DropChanges && !expired {
 		return nil, after, d.changed, nil
 	}
 	var found []port.Entry
@@ -190,7 +190,7 @@
 			found = append(found, e)
 		}
 	}
-	return found, d.moment(), d.changed, nil
+	return found, d.currentRevision(), d.changed, nil
 }
 
 // Put implements port.Directory.
@@ -218,9 +218,9 @@
 	return d.writeResult()
 }
 
-// checkAvailable returns an error while the fault Out is set. The lock must be held.
+// checkAvailable returns an error while the fault Outage is set. The lock must be held.
 func (d *Directory) checkAvailable() error {
-	if d.faults.Out {
+	if d.faults.Outage {
 		return port.ErrUnavailable
 	}
 	return nil
@@ -228,7 +228,7 @@
 
 // writeResult returns the error of a write that took effect. The lock must be held.
 func (d *Directory) writeResult() error {
-	if d.faults.LoseWrites {
+	if d.faults.LoseWriteReplies {
 		return port.ErrUnknown
 	}
 	return nil
--- a/mesh/configuration_test.go
+++ b/mesh/configuration_test.go
@@ -47,7 +47,7 @@
 	b.awaitVersion(5)
 	b.nodes[0].store.denied.Store(true)
 	b.nodes[1].store.denied.Store(false)
-	b.store.SetFaults(memory.Faults{Deaf: true})
+	b.store.SetFaults(memory.Faults{DropChanges: true})
 	b.configure(7, "/seven/")
 	b.awaitVersion(7)
 	b.store.SetFaults(memory.Faults{})
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -32,7 +32,7 @@
 // A node without a configuration must answer 503 with a Retry-After.
 func TestNoConfigurationIs503(t *testing.T) {
 	b := newTestCluster(t)
-	b.store.SetFaults(memory.Faults{Out: true})
+	b.store.SetFaults(memory.Faults{Outage: true})
 	one := b.add("one", "births")
 	r, _, err := one.ask(context.Background(), http.MethodGet, "/look/x", "a1")
 	require.NoError(t, err)
@@ -73,7 +73,7 @@
 	b := newTestCluster(t)
 	one := b.add("one", "births")
 	b.awaitReady()
-	b.store.SetFaults(memory.Faults{Out: true})
+	b.store.SetFaults(memory.Faults{Outage: true})
 	assert.Equal(t, 503, one.report(2, true))
 	assert.Equal(t, link.ModeClosed, one.gateMode())
 	b.store.SetFaults(memory.Faults{})
--- a/mesh/serve.go
+++ b/mesh/serve.go
@@ -68,7 +68,7 @@
 
 // recordLeaving reports whether the store recorded it before the sender's timeout.
 func (n *Node) recordLeaving(ctx context.Context, r port.Report) bool {
-	ctx, cancel := context.WithTimeout(ctx, min(ackTimeout, n.settings.Load().Acknowledge()))
+	ctx, cancel := context.WithTimeout(ctx, min(ackTimeout, n.settings.Load().AcknowledgeTimeout()))
 	defer cancel()
 	err := n.directory.recordLeaving(ctx, r.Incarnation)
 	n.log.Info("upstream leaves", zap.Stringer("upstream", r.Incarnation), zap.Bool("final", r.Final), zap.Bool("recorded", err == nil), zap.NamedError("cause", err))
--- a/node/dump.go
+++ b/node/dump.go
@@ -11,15 +11,15 @@
 
 // Dump is the whole decision state of a node, for operators and tests.
 type Dump struct {
-	Node        string               `json:"node"`
-	Incarnation uint64               `json:"incarnation"`
-	Stopping    bool                 `json:"stopping"`
-	Sequences   map[string]uint64    `json:"sequences"`
-	Accounts    int                  `json:"accounts"`
-	Groups      map[string]GroupDump `json:"groups"`
-	HeapBytes   uint64               `json:"heap_bytes"`
-	SentBytes   int64                `json:"sent_bytes"`
-	Received    int64                `json:"received_bytes"`
+	Node          string               `json:"node"`
+	Incarnation   uint64               `json:"incarnation"`
+	Stopping      bool                 `json:"stopping"`
+	Sequences     map[string]uint64    `json:"sequences"`
+	Accounts      int                  `json:"accounts"`
+	Groups        map[string]GroupDump `json:"groups"`
+	HeapBytes     uint64               `json:"heap_bytes"`
+	SentBytes     int64                `json:"sent_bytes"`
+	ReceivedBytes int64                `json:"received_bytes"`
 }
 
 // GroupDump is one node's state of a group.
@@ -46,12 +46,12 @@
 
 // UpstreamDump is the decision state and load of an upstream.
 type UpstreamDump struct {
-	Name     string  `json:"name"`
-	Address  string  `json:"address"`
-	Phase    string  `json:"phase"`
-	Avoid    float64 `json:"own_weight"`
-	Score    float64 `json:"score"`
-	InFlight int     `json:"in_flight"`
+	Name      string  `json:"name"`
+	Address   string  `json:"address"`
+	Phase     string  `json:"phase"`
+	OwnWeight float64 `json:"own_weight"`
+	Score     float64 `json:"score"`
+	InFlight  int     `json:"in_flight"`
 }
 
 const heapMetric = "/memory/classes/heap/objects:bytes"
@@ -60,7 +60,7 @@
 func (n *Node) Dump() Dump {
 	heap := []metrics.Sample{{Name: heapMetric}} // Unlike ReadMemStats, this does not stop the world.
 	metrics.Read(heap)
-	snapshot := n.holder.Now()
+	snapshot := n.holder.Snapshot()
 	d := Dump{
 		Node:        n.identity.Node,
 		Incarnation: n.identity.Incarnation,
@@ -70,7 +70,7 @@
 		Groups:      map[string]GroupDump{},
 		HeapBytes:   heap[0].Value.Uint64(),
 	}
-	d.SentBytes, d.Received = n.peers.Traffic()
+	d.SentBytes, d.ReceivedBytes = n.peers.Traffic()
 	for name, g := range n.groups {
 		d.Groups[name] = g.dump()
 	}
@@ -110,12 +110,12 @@
 	}
 	for _, u := range s.balancer.Upstreams() {
 		d.Upstreams = append(d.Upstreams, UpstreamDump{
-			Name:     u.Name(),
-			Address:  u.Address(),
-			Phase:    phases[u.Name()].String(),
-			Avoid:    s.local.Weight(u.Name()),
-			Score:    s.detector.Score(u.Name()),
-			InFlight: u.InFlight(),
+			Name:      u.Name(),
+			Address:   u.Address(),
+			Phase:     phases[u.Name()].String(),
+			OwnWeight: s.local.Weight(u.Name()),
+			Score:     s.detector.Score(u.Name()),
+			InFlight:  u.InFlight(),
 		})
 	}
 	return d
--- a/node/evidence.go
+++ b/node/evidence.go
@@ -64,8 +64,8 @@
 	for name, s := range g.services {
 		var counts []core.Count
 		for _, m := range s.upstreams {
-			m.upstream.Watch(now)
-			if m.upstream.Refusing() {
+			m.upstream.CountSlow(now)
+			if m.upstream.Leaving() {
 				g.reportLeaving(m.upstream.Name() + "/" + m.generation)
 			}
 			c := m.upstream.Drain()
@@ -77,7 +77,7 @@
 		if len(counts) == 0 {
 			continue
 		}
-		own := core.Evidence{At: now, Reporter: g.node.identity.Node, LocalUpstream: g.node.settings.Beside(), Counts: counts}
+		own := core.Evidence{At: now, Reporter: g.node.identity.Node, LocalUpstream: g.node.settings.LocalUpstream(), Counts: counts}
 		s.local.Update(own)
 		for _, c := range counts {
 			suspicious = suspicious || c.Failed+c.Slow > 0 && s.local.Unreliable(c.Upstream)
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -25,7 +25,7 @@
 			addresses[m.Node] = m.Address
 		}
 	}
-	states := []NodeState{{Node: n.identity.Node, Reachable: true, Sequences: n.holder.Now().Sequences()}}
+	states := []NodeState{{Node: n.identity.Node, Reachable: true, Sequences: n.holder.Snapshot().Sequences()}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for name, address := range addresses {
--- a/node/group.go
+++ b/node/group.go
@@ -107,7 +107,7 @@
 
 // configure applies the template in force to the services.
 func (g *Group) configure() {
-	t := g.node.holder.Now().Template(g.template)
+	t := g.node.holder.Snapshot().Template(g.template)
 	if t == nil {
 		return
 	}
@@ -224,12 +224,12 @@
 	for _, name := range slices.Sorted(maps.Keys(s.upstreams)) {
 		m := s.upstreams[name]
 		ownWeight := s.local.Weight(name)
-		share := proxy.Share{Upstream: m.upstream, Weight: ownWeight, Alone: ownWeight}
+		share := proxy.Share{Upstream: m.upstream, Weight: ownWeight, LocalWeight: ownWeight}
 		if state, ok := states[name]; ok {
 			share.Phase = state.Phase
 			share.Weight = ownWeight * state.Weight
 			if state.Phase == core.Ramp {
-				share.Alone = share.Weight
+				share.LocalWeight = share.Weight
 			}
 		}
 		if s.local.Unreliable(name) || share.Phase == core.Out || share.Phase == core.Trial {
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -109,7 +109,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	h := &peer.Heartbeat{
-		Beside: g.node.settings.Beside(),
+		Beside: g.node.settings.LocalUpstream(),
 		Load:   g.loadsByIndex(g.load()),
 		Digest: digest(sequences),
 		Roster: g.roster.Version,
@@ -240,7 +240,7 @@
 func (g *Group) setLoads(total map[string]uint32) {
 	for _, s := range g.services {
 		for name, m := range s.upstreams {
-			m.upstream.SetOthers(int(total[name]))
+			m.upstream.SetTotalInFlight(int(total[name]))
 		}
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// Complete implements proxy.Directory.
-func (n *Node) Complete() bool {
+// Loaded implements proxy.Directory.
+func (n *Node) Loaded() bool {
 	for _, g := range n.groups {
 		if !g.complete.Load() {
 			return false
@@ -190,7 +190,7 @@
 
 // sequences returns the sequences in force of one template, by shard.
 func (n *Node) sequences(template string) map[string]uint64 {
-	all := n.holder.Now().Sequences()
+	all := n.holder.Snapshot().Sequences()
 	if len(n.groups) == 1 {
 		return all
 	}
@@ -215,16 +215,16 @@
 	if !changed {
 		return false
 	}
-	n.log.Info("configuration in force", zap.String("shard", key), zap.Uint64("sequence", n.holder.Now().Sequences()[key]))
-	if parsed.Itself {
+	n.log.Info("configuration in force", zap.String("shard", key), zap.Uint64("sequence", n.holder.Snapshot().Sequences()[key]))
+	if parsed.IsTemplate {
 		n.groups[parsed.Template].configure()
 	}
 	return true
 }
 
-// Applied puts in force a shard that this node has published to the store, and
+// ApplyPublished puts in force a shard that this node has published to the store, and
 // pushes it to the group.
-func (n *Node) Applied(key string, value []byte) {
+func (n *Node) ApplyPublished(key string, value []byte) {
 	if !n.apply(key, value) {
 		return
 	}
@@ -326,7 +326,7 @@
 	protocols.SetHTTP2(true)
 	return &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: n.settings.SlowCaller(),
+		ReadHeaderTimeout: n.settings.HeaderReadTimeout(),
 		IdleTimeout:       callerIdleTimeout,
 		MaxHeaderBytes:    n.settings.Header(),
 		Protocols:         protocols,
--- a/node/peers.go
+++ b/node/peers.go
@@ -19,7 +19,7 @@
 func (n *Node) answer(_ context.Context, r *peer.Request) *peer.Reply {
 	if r.Status != nil {
 		return &peer.Reply{Status: &peer.StatusReply{
-			Sequences:   n.holder.Now().Sequences(),
+			Sequences:   n.holder.Snapshot().Sequences(),
 			Incarnation: n.identity.Incarnation,
 			Stopping:    n.stopping.Load(),
 		}}
--- a/node/stop.go
+++ b/node/stop.go
@@ -166,7 +166,7 @@
 }
 
 func tlsListener(l net.Listener, material *keys.Material) net.Listener {
-	c := material.Server()
+	c := material.ServerTLS()
 	c.NextProtos = []string{"h2", "http/1.1"}
 	return tls.NewListener(l, c)
 }
--- a/node/watch.go
+++ b/node/watch.go
@@ -107,7 +107,7 @@
 // runNodeWatch follows the platform's list of the template's nodes.
 func (g *Group) runNodeWatch(ctx context.Context) {
 	g.watch(ctx, func(ctx context.Context, index uint64) (uint64, error) {
-		found, next, err := g.node.list.Instances(ctx, NodeList(g.template), index)
+		found, next, err := g.node.list.Instances(ctx, ListName(g.template), index)
 		if err != nil {
 			return 0, err
 		}
@@ -120,26 +120,26 @@
 	})
 }
 
-// NodeList returns the name under which the platform lists a template's nodes.
-func NodeList(template string) string { return "eiderfold-" + template }
+// ListName returns the name under which the platform lists a template's nodes.
+func ListName(template string) string { return "eiderfold-" + template }
 
 // runUpstreamWatch follows the upstreams of every service. Each service has its own
 // watch, which ends when the template no longer contains the service.
 func (g *Group) runUpstreamWatch(ctx context.Context) {
 	running := map[string]context.CancelFunc{}
 	for sleep(ctx, servicePeriod) {
-		t := g.node.holder.Now().Template(g.template)
+		t := g.node.holder.Snapshot().Template(g.template)
 		if t == nil {
 			continue
 		}
 		present := map[string]bool{}
 		for _, s := range t.Services() {
-			key := s.Name() + "\n" + s.List()
+			key := s.Name() + "\n" + s.ListName()
 			present[key] = true
 			if running[key] == nil {
 				watchCtx, cancel := context.WithCancel(ctx)
 				running[key] = cancel
-				go g.watchUpstreams(watchCtx, s.Name(), s.List())
+				go g.watchUpstreams(watchCtx, s.Name(), s.ListName())
 			}
 		}
 		for key, cancel := range running {
--- a/peer/transport.go
+++ b/peer/transport.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for peers")
 	}
-	server, client := material.Mutual(), material.Mutual()
+	server, client := material.MutualTLS(), material.MutualTLS()
 	server.NextProtos = []string{protocol}
 	client.NextProtos = []string{protocol}
 	t := &Transport{
--- a/proxy/doc.go
+++ b/proxy/doc.go
@@ -25,9 +25,9 @@
 type Directory interface {
 	// Service returns nil until the node has set up the service.
 	Service(template, service string) *Service
-	// Complete reports whether the node has loaded its whole configuration since it
+	// Loaded reports whether the node has loaded its whole configuration since it
 	// started. Until then an unknown account may just not have been loaded yet.
-	Complete() bool
+	Loaded() bool
 }
 
 // Operations prevents keyed operations from running twice.
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -291,7 +291,7 @@
 }
 
 // evidence returns what a failure implies about the upstream. A missed deadline
-// alone is no evidence: it may have been too short, and Watch counts slow requests.
+// alone is no evidence: it may have been too short, and CountSlow counts slow requests.
 func (f *failure) evidence() outcome {
 	switch f.reason {
 	case notSent, unconfirmed:
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -109,10 +109,10 @@
 func (h *Handler) admit(r *http.Request) (*call, *result.Error) {
 	now := time.Now()
 	name, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	snapshot := h.holder.Now()
+	snapshot := h.holder.Snapshot()
 	template, account, route := snapshot.Find(name, r.Method, "/"+rest)
 	switch {
-	case account == nil && (len(snapshot.Sequences()) == 0 || !h.directory.Complete()):
+	case account == nil && (len(snapshot.Sequences()) == 0 || !h.directory.Loaded()):
 		return nil, result.New(result.NoConfiguration, "nothing is in force on this node yet").WithRetryAfter(minRetryAfter)
 	case account == nil:
 		return nil, result.New(result.NoAccount, "no account "+name)
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -45,7 +45,7 @@
 
 func (b *testCluster) Service(string, string) *Service { return b.service }
 
-func (b *testCluster) Complete() bool { return true }
+func (b *testCluster) Loaded() bool { return true }
 
 func (b *testCluster) Begin(context.Context, string, core.Key, uint64, time.Time) (Operation, *core.Recorded, *result.Error) {
 	return b, nil, nil
@@ -64,13 +64,13 @@
 		_, err = holder.Apply(key, value)
 		require.NoError(t, err)
 	}
-	b := &testCluster{service: NewService(holder.Now().Template("t").Service("s"))}
+	b := &testCluster{service: NewService(holder.Snapshot().Template("t").Service("s"))}
 	b.Handler = NewHandler(holder, b, b)
 	var shares []Share
 	for i, a := range addresses {
 		u := NewUpstream("s", fmt.Sprintf("u%d", i), a, 100, nil)
 		t.Cleanup(u.Close)
-		shares = append(shares, Share{Upstream: u, Weight: 1, Alone: 1})
+		shares = append(shares, Share{Upstream: u, Weight: 1, LocalWeight: 1})
 	}
 	b.service.Rotate(shares, time.Now().Add(time.Hour))
 	b.server = httptest.NewServer(b.Handler)
--- a/proxy/service.go
+++ b/proxy/service.go
@@ -67,10 +67,10 @@
 
 // Share is an upstream with its ejection phase and its weights.
 type Share struct {
-	Upstream *Upstream
-	Phase    core.Phase
-	Weight   float64 // Local weight times the weight of the ejection state.
-	Alone    float64 // Local weight, times the ramp weight while ramping; ignores ejections.
+	Upstream    *Upstream
+	Phase       core.Phase
+	Weight      float64 // Local weight times the weight of the ejection state.
+	LocalWeight float64 // Local weight, times the ramp weight while ramping; ignores ejections.
 }
 
 // Rotate replaces the rotation. Ejections apply until deadline, by this node's
@@ -82,7 +82,7 @@
 		r.upstreams = append(r.upstreams, share.Upstream)
 		r.weights = append(r.weights, share.Weight)
 		r.phases = append(r.phases, share.Phase)
-		r.localWeights = append(r.localWeights, share.Alone)
+		r.localWeights = append(r.localWeights, share.LocalWeight)
 		// Jitter, so that the nodes do not all send trials at the same time.
 		r.nextTrial[i].Store(time.Now().Add(rand.N(trialPeriod)).UnixNano())
 		for k, u := range old.upstreams {
--- a/proxy/upstream.go
+++ b/proxy/upstream.go
@@ -13,7 +13,7 @@
 const (
 	connectTimeout = 500 * time.Millisecond
 	idleTimeout    = 30 * time.Second
-	maxTracked     = 256 // Requests in flight that Watch checks; further ones are served untracked.
+	maxTracked     = 256 // Requests in flight that CountSlow checks; further ones are served untracked.
 	maxHeaderBytes = 64 << 10
 )
 
@@ -108,8 +108,8 @@
 // InFlight returns this node's number of requests in flight at the upstream.
 func (u *Upstream) InFlight() int { return int(u.inFlight.Load()) }
 
-// Refusing reports whether the upstream has refused a request because it is leaving.
-func (u *Upstream) Refusing() bool { return u.leaving.Load() }
+// Leaving reports whether the upstream has refused a request because it is leaving.
+func (u *Upstream) Leaving() bool { return u.leaving.Load() }
 
 // Close closes the idle connections.
 func (u *Upstream) Close() {
@@ -117,8 +117,8 @@
 	u.dedicated.CloseIdleConnections()
 }
 
-// SetOthers derives the other nodes' requests in flight from the total of all nodes.
-func (u *Upstream) SetOthers(total int) {
+// SetTotalInFlight derives the other nodes' requests in flight from the total of all nodes.
+func (u *Upstream) SetTotalInFlight(total int) {
 	u.othersInFlight.Store(int32(max(total-u.InFlight(), 0)))
 }
 
@@ -140,7 +140,7 @@
 
 func (u *Upstream) release() { u.inFlight.Add(-1) }
 
-// track registers a request for Watch.
+// track registers a request for CountSlow.
 func (u *Upstream) track(at time.Time, slowAfter, stallAfter time.Duration) *inFlightRequest {
 	f := &inFlightRequest{started: at, slowAfter: slowAfter, stallAfter: stallAfter, index: -1}
 	first := u.nextTracked.Add(1)
@@ -178,9 +178,9 @@
 	}
 }
 
-// Watch counts the requests in flight that are already slow or stalled, so that an
+// CountSlow counts the requests in flight that are already slow or stalled, so that an
 // upstream that never answers is detected before the requests time out.
-func (u *Upstream) Watch(at time.Time) {
+func (u *Upstream) CountSlow(at time.Time) {
 	for i := range u.tracked {
 		f := u.tracked[i].Load()
 		if f == nil {
--- a/route/account_test.go
+++ b/route/account_test.go
@@ -75,8 +75,8 @@
 	second, _ := table.Account("second")
 	priorities := []int{table.Priority(order, first), table.Priority(lookup, first), table.Priority(order, second), table.Priority(lookup, second)}
 	assert.IsIncreasing(t, priorities)
-	assert.Equal(t, table.Priority(order, second), table.CallPriority(order, table.Priority(lookup, second)), "a nested request keeps the priority of its parent's account")
-	assert.Equal(t, 2, table.CallPriority(lookup, table.Priority(order, nil)), "a nested request of a parent without an account")
+	assert.Equal(t, table.Priority(order, second), table.NestedPriority(order, table.Priority(lookup, second)), "a nested request keeps the priority of its parent's account")
+	assert.Equal(t, 2, table.NestedPriority(lookup, table.Priority(order, nil)), "a nested request of a parent without an account")
 	assert.Equal(t, []int{0, 2}, []int{table.Priority(order, nil), table.Priority(lookup, nil)}, "without an account by the route alone")
 }
 
--- a/route/region.go
+++ b/route/region.go
@@ -29,5 +29,5 @@
 // Allow reports whether the set holds a region.
 func (r Regions) Allow(region string) bool { return !r.bound || slices.Contains(r.names, region) }
 
-// Bound reports whether the request is bound to certain regions.
-func (r Regions) Bound() bool { return r.bound }
+// Restricted reports whether the request is bound to certain regions.
+func (r Regions) Restricted() bool { return r.bound }
--- a/route/region_test.go
+++ b/route/region_test.go
@@ -27,7 +27,7 @@
 			}
 		}
 		assert.Equal(t, c.allowed, allowed, c.why)
-		assert.Equal(t, len(allowed) < 3, regions.Bound(), c.why)
+		assert.Equal(t, len(allowed) < 3, regions.Restricted(), c.why)
 	}
-	assert.False(t, RegionsOf(&Route{}, nil).Bound(), "a request without an account")
+	assert.False(t, RegionsOf(&Route{}, nil).Restricted(), "a request without an account")
 }
--- a/route/route.go
+++ b/route/route.go
@@ -187,10 +187,10 @@
 	return a.Priority*t.levels + r.Priority
 }
 
-// CallPriority returns the priority of a nested request, given its parent's priority: the
+// NestedPriority returns the priority of a nested request, given its parent's priority: the
 // account's part of it is kept, and the route's part is that of r. Without the account's
 // part, it would precede all requests of less urgent accounts.
-func (t *Table) CallPriority(r *Route, parent int) int {
+func (t *Table) NestedPriority(r *Route, parent int) int {
 	return parent - parent%t.levels + r.Priority
 }
 
--- a/settings/mesh.go
+++ b/settings/mesh.go
@@ -160,8 +160,8 @@
 // are suspected.
 func (m *Mesh) FloorShare() float64 { return m.file.Fleet.FloorShare }
 
-// Acknowledge returns the maximum time to respond to an upstream's heartbeat.
-func (m *Mesh) Acknowledge() time.Duration { return m.file.Fleet.Acknowledge }
+// AcknowledgeTimeout returns the maximum time to respond to an upstream's heartbeat.
+func (m *Mesh) AcknowledgeTimeout() time.Duration { return m.file.Fleet.Acknowledge }
 
 // Retries returns the fleet's limit on repeated attempts: a ratio of the requests,
 // plus a fixed number.
--- a/settings/meshcheck_test.go
+++ b/settings/meshcheck_test.go
@@ -64,5 +64,5 @@
 	m, err := ParseMesh("node.yaml", []byte(validMesh+"off: [hedges]\n"))
 	require.NoError(t, err)
 	assert.False(t, m.Switches().On(switches.Hedges))
-	assert.True(t, m.Switches().On(switches.Silence))
+	assert.True(t, m.Switches().On(switches.HangDetection))
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -38,19 +38,19 @@
 
 // file is the YAML form of the settings.
 type file struct {
-	Node       string    `yaml:"node"`
-	DataCentre string    `yaml:"data_centre"`
-	Beside     string    `yaml:"beside"`
-	Templates  []string  `yaml:"templates"`
-	Seeds      []string  `yaml:"seeds"`
-	Listen     listen    `yaml:"listen"`
-	Platform   platform  `yaml:"platform"`
-	Keys       keyFiles  `yaml:"keys"`
-	CallerKeys keyFiles  `yaml:"caller_keys"`
-	Teams      []Team    `yaml:"teams"`
-	Limits     limits    `yaml:"limits"`
-	Stop       stop      `yaml:"stop"`
-	Log        logFields `yaml:"log"`
+	Node          string    `yaml:"node"`
+	DataCentre    string    `yaml:"data_centre"`
+	LocalUpstream string    `yaml:"beside"`
+	Templates     []string  `yaml:"templates"`
+	Seeds         []string  `yaml:"seeds"`
+	Listen        listen    `yaml:"listen"`
+	Platform      platform  `yaml:"platform"`
+	Keys          keyFiles  `yaml:"keys"`
+	CallerKeys    keyFiles  `yaml:"caller_keys"`
+	Teams         []Team    `yaml:"teams"`
+	Limits        limits    `yaml:"limits"`
+	Stop          stop      `yaml:"stop"`
+	Log           logFields `yaml:"log"`
 }
 
 type listen struct {
@@ -106,8 +106,8 @@
 // DataCentre returns the data centre the node is in.
 func (s *Settings) DataCentre() string { return s.file.DataCentre }
 
-// Beside returns the upstream that runs on the same instance, or "" if none does.
-func (s *Settings) Beside() string { return s.file.Beside }
+// LocalUpstream returns the upstream that runs on the same instance, or "" if none does.
+func (s *Settings) LocalUpstream() string { return s.file.LocalUpstream }
 
 // Templates returns the templates the node serves.
 func (s *Settings) Templates() []string { return s.file.Templates }
@@ -149,8 +149,8 @@
 // Connections returns the maximum number of concurrent caller connections.
 func (s *Settings) Connections() int { return s.Limits.Connections }
 
-// SlowCaller returns the read timeout of a request's header.
-func (s *Settings) SlowCaller() time.Duration { return s.Limits.SlowCaller }
+// HeaderReadTimeout returns the read timeout of a request's header.
+func (s *Settings) HeaderReadTimeout() time.Duration { return s.Limits.SlowCaller }
 
 // Grace returns how long a stopping node still accepts requests, while callers switch
 // to other nodes.
@@ -239,7 +239,7 @@
 	case "data_centre":
 		s.file.DataCentre = value
 	case "beside":
-		s.file.Beside = value
+		s.file.LocalUpstream = value
 	case "templates":
 		s.file.Templates = strings.Split(value, ",")
 	case "seeds":
--- a/switches/switches.go
+++ b/switches/switches.go
@@ -20,23 +20,23 @@
 
 // Mechanisms. Each comment says what happens if the mechanism is off.
 const (
-	Silence   Mechanism = "silence"    // Unanswered attempts do not put a gate on trial.
-	Hold      Mechanism = "hold"       // Non-retryable requests also go to upstreams that may be unresponsive.
-	Warnings  Mechanism = "warnings"   // Gates on trial do not report overdue attempts to the ingress.
-	OwnCalls  Mechanism = "own-calls"  // Errors count against an upstream even if its nested requests failed.
-	KindTimes Mechanism = "kind-times" // Queues estimate response times by the mean over all kinds of requests.
-	Trials    Mechanism = "trials"     // Bad outcomes do not put a gate on trial.
-	Forced    Mechanism = "forced"     // Gates on trial accept no non-retryable requests, however few gates are open.
-	Hedges    Mechanism = "hedges"     // Late attempts are not hedged.
-	Near      Mechanism = "near"       // Gates in the local data centre are not preferred.
-	SlowLast  Mechanism = "slow-last"  // Slow gates are selected like any other.
-	Priority  Mechanism = "priority"   // Queues ignore priorities.
-	LateLast  Mechanism = "late-last"  // Queues do not move requests to the back that can no longer meet their target deadline.
-	CallTerms Mechanism = "call-terms" // Nested requests do not inherit the requirements of their parent.
+	HangDetection      Mechanism = "silence"    // Unanswered attempts do not put a gate on trial.
+	HoldUnresponsive   Mechanism = "hold"       // Non-retryable requests also go to upstreams that may be unresponsive.
+	OverdueNotices     Mechanism = "warnings"   // Gates on trial do not report overdue attempts to the ingress.
+	NestedRequests     Mechanism = "own-calls"  // Errors count against an upstream even if its nested requests failed.
+	KindTimes          Mechanism = "kind-times" // Queues estimate response times by the mean over all kinds of requests.
+	Trials             Mechanism = "trials"     // Bad outcomes do not put a gate on trial.
+	Forced             Mechanism = "forced"     // Gates on trial accept no non-retryable requests, however few gates are open.
+	Hedges             Mechanism = "hedges"     // Late attempts are not hedged.
+	PreferLocal        Mechanism = "near"       // Gates in the local data centre are not preferred.
+	SlowLast           Mechanism = "slow-last"  // Slow gates are selected like any other.
+	Priority           Mechanism = "priority"   // Queues ignore priorities.
+	LateLast           Mechanism = "late-last"  // Queues do not move requests to the back that can no longer meet their target deadline.
+	NestedRequirements Mechanism = "call-terms" // Nested requests do not inherit the requirements of their parent.
 )
 
-var all = []Mechanism{Silence, Hold, Warnings, OwnCalls, KindTimes, Trials, Forced, Hedges, Near, SlowLast, Priority,
-	LateLast, CallTerms}
+var all = []Mechanism{HangDetection, HoldUnresponsive, OverdueNotices, NestedRequests, KindTimes, Trials, Forced, Hedges, PreferLocal, SlowLast, Priority,
+	LateLast, NestedRequirements}
 
 // All returns all mechanisms.
 func All() []Mechanism { return slices.Clone(all) }
--- a/switches/switches_test.go
+++ b/switches/switches_test.go
@@ -11,8 +11,8 @@
 	s, err := Off("hedges", "near")
 	require.NoError(t, err)
 	assert.False(t, s.On(Hedges))
-	assert.False(t, s.On(Near))
-	assert.True(t, s.On(Silence))
+	assert.False(t, s.On(PreferLocal))
+	assert.True(t, s.On(HangDetection))
 	assert.Equal(t, "hedges, near", s.String())
 	for _, m := range All() {
 		assert.True(t, Set{}.On(m), "%s", m)
