--- a/bench/cmd/standin/main.go
+++ b/bench/cmd/standin/main.go
@@ -41,7 +41,7 @@
 			return serve(c, *listen, standin.NewPlatform())
 		}},
 		&cobra.Command{Use: "cutter", RunE: func(c *cobra.Command, _ []string) error {
-			return serve(c, *listen, standin.NewCutter())
+			return serve(c, *listen, standin.NewFaultProxy())
 		}},
 		upstream(listen),
 	)
--- a/bench/cmd/trial/capacity.go
+++ b/bench/cmd/trial/capacity.go
@@ -157,7 +157,7 @@
 	calls                      float64 // Platform calls a second, including pending watches.
 }
 
-func (m *meter) start(ctx context.Context, s fleet.Shape) (*fleet.Fleet, error) {
+func (m *meter) start(ctx context.Context, s fleet.SyntheticSize) (*fleet.Fleet, error) {
 	dir, err := os.MkdirTemp(m.dir, "run")
 	if err != nil {
 		return nil, errors.Wrap(err, "capacity")
@@ -250,7 +250,7 @@
 	inForce := &slope{Role: "configuration", Quantity: "ms_until_in_force_everywhere_max", Per: "node of the group", Target: targetNodes}
 	restarts := &slope{Role: "group", Quantity: "platform_calls_per_restart", Per: "node of the group", Target: targetNodes}
 	for _, n := range m.nodes {
-		f, err := m.start(ctx, fleet.Shape{Nodes: n, Upstreams: fixedUpstreams, Slots: 9, Work: loadedWork, Accounts: someAccounts})
+		f, err := m.start(ctx, fleet.SyntheticSize{Nodes: n, Upstreams: fixedUpstreams, Slots: 9, Work: loadedWork, Accounts: someAccounts})
 		if err != nil {
 			return nil, err
 		}
@@ -307,7 +307,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if output, err := f.Control(i%len(f.Nodes), "account", "set", f.Deployment.Name, name); err != nil {
+		if output, err := f.Eiderctl(i%len(f.Nodes), "account", "set", f.Deployment.Name, name); err != nil {
 			return 0, errors.Wrap(err, output)
 		}
 		accepted := time.Now()
@@ -330,7 +330,7 @@
 func (m *meter) byUpstreams(ctx context.Context) ([]*slope, error) {
 	all, add := roleSlopes("upstream of the group", targetUpstreams)
 	for _, u := range m.upstreams {
-		f, err := m.start(ctx, fleet.Shape{Nodes: fixedNodes, Upstreams: u, Slots: 9, Work: loadedWork, Accounts: someAccounts})
+		f, err := m.start(ctx, fleet.SyntheticSize{Nodes: fixedNodes, Upstreams: u, Slots: 9, Work: loadedWork, Accounts: someAccounts})
 		if err != nil {
 			return nil, err
 		}
@@ -349,7 +349,7 @@
 func (m *meter) byRate(ctx context.Context) ([]*slope, error) {
 	all, add := roleSlopes("request/s through a node", targetRate)
 	for _, rate := range m.rates {
-		f, err := m.start(ctx, fleet.Shape{Nodes: fixedNodes, Upstreams: 50, Slots: 9, Work: loadedWork, Accounts: someAccounts})
+		f, err := m.start(ctx, fleet.SyntheticSize{Nodes: fixedNodes, Upstreams: 50, Slots: 9, Work: loadedWork, Accounts: someAccounts})
 		if err != nil {
 			return nil, err
 		}
--- a/bench/cmd/trial/load.go
+++ b/bench/cmd/trial/load.go
@@ -94,7 +94,7 @@
 		}
 		n = nodes[l.random.IntN(len(nodes))]
 	}
-	return "http://" + n.Callers() + "/" + account + "/" + path + "?" + query
+	return "http://" + n.CallerAddress() + "/" + account + "/" + path + "?" + query
 }
 
 // randomService returns the index of a random service, weighted by its upstreams.
--- a/bench/cmd/trial/run.go
+++ b/bench/cmd/trial/run.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "run")
 	}
-	o := fleet.Options{Dir: dir, Seed: uint64(seed), Base: byte(slot), Linked: true}
+	o := fleet.Options{Dir: dir, Seed: uint64(seed), Subnet: byte(slot), ViaFaultProxy: true}
 	if policy != ours {
 		o.Policy = policy
 	}
@@ -158,7 +158,7 @@
 		return err
 	}
 	if r.scenario.Platform.Out {
-		if err := r.fleet.SetPlatform(standin.PlatformFaults{Out: true}); err != nil {
+		if err := r.fleet.SetPlatformFaults(standin.PlatformFaults{Outage: true}); err != nil {
 			return err
 		}
 	}
@@ -212,10 +212,10 @@
 			}
 		}
 		for _, to := range names {
-			rules = append(rules, standin.Rule{From: from, To: to, CutOut: cut.CutOut, CutIn: cut.CutIn, Reset: cut.Reset, Delay: cut.Delay, Half: cut.Half})
+			rules = append(rules, standin.Rule{From: from, To: to, DropOutbound: cut.CutOut, DropInbound: cut.CutIn, Reset: cut.Reset, Delay: cut.Delay, TruncateAfter: cut.Half})
 		}
 	}
-	return r.fleet.SetRules(append(rules, r.fleet.CutOff(r.scenario.DataCentre)...))
+	return r.fleet.SetRules(append(rules, r.fleet.PartitionRules(r.scenario.DataCentre)...))
 }
 
 func (r *runner) endFault(_ context.Context, _ int, victims []string) error {
@@ -225,7 +225,7 @@
 		}
 	}
 	if r.scenario.Platform.Out {
-		if err := r.fleet.SetPlatform(standin.PlatformFaults{}); err != nil {
+		if err := r.fleet.SetPlatformFaults(standin.PlatformFaults{}); err != nil {
 			return err
 		}
 	}
@@ -247,7 +247,7 @@
 		if err != nil {
 			continue
 		}
-		at, ok := detectionTime(c.Hits, r.scenario.Rate, r.scenario.FaultFor.Milliseconds())
+		at, ok := detectionTime(c.Arrivals, r.scenario.Rate, r.scenario.FaultFor.Milliseconds())
 		r.outcome.detections = append(r.outcome.detections, at)
 		if !ok {
 			r.outcome.missed++
@@ -282,7 +282,7 @@
 	r.outcome.starts = map[string]int{}
 	work := 0
 	for _, u := range r.fleet.Upstreams {
-		text, err := os.ReadFile(filepath.Clean(u.Starts))
+		text, err := os.ReadFile(filepath.Clean(u.StartLog))
 		if err != nil {
 			return errors.Wrap(err, "starts")
 		}
--- a/bench/cmd/trial/scenario.go
+++ b/bench/cmd/trial/scenario.go
@@ -82,8 +82,8 @@
 
 func (m modeFile) mode() standin.Mode {
 	return standin.Mode{
-		FailShare: m.FailShare, SlowFactor: m.SlowFactor, Hang: m.Hang, Cut: m.Cut,
-		FlapPeriod: m.FlapPeriod, Shed: m.Shed, Leaving: m.Leaving, BadCaller: m.BadCaller, Cold: m.Cold,
+		FailShare: m.FailShare, SlowFactor: m.SlowFactor, Hang: m.Hang, TruncateShare: m.Cut,
+		FlapPeriod: m.FlapPeriod, Shed: m.Shed, Leaving: m.Leaving, FailingAccount: m.BadCaller, ColdPeriod: m.Cold,
 	}
 }
 
--- a/bench/cmd/trial/speed.go
+++ b/bench/cmd/trial/speed.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d, err := fleet.Synthetic(dir, fleet.Shape{Nodes: 1, Upstreams: 1, Slots: slots, Work: work, Accounts: 1})
+	d, err := fleet.Synthetic(dir, fleet.SyntheticSize{Nodes: 1, Upstreams: 1, Slots: slots, Work: work, Accounts: 1})
 	if err != nil {
 		return nil, err
 	}
@@ -98,8 +98,8 @@
 	paths := []accessPath{
 		{"direct", "http://" + f.Upstreams[0].Address + "/get/1", http.MethodGet, false, 0},
 		{"passthrough", "http://" + address + "/get/1", http.MethodGet, false, proxy.PID()},
-		{"node", "http://" + node.Callers() + "/account-1/get/1", http.MethodGet, false, node.PID()},
-		{"node, keyed", "http://" + node.Callers() + "/account-1/post", http.MethodPost, true, node.PID()},
+		{"node", "http://" + node.CallerAddress() + "/account-1/get/1", http.MethodGet, false, node.PID()},
+		{"node, keyed", "http://" + node.CallerAddress() + "/account-1/post", http.MethodPost, true, node.PID()},
 	}
 	return comparePaths(paths, rate, rounds, length), nil
 }
--- a/bench/e2e/faults_test.go
+++ b/bench/e2e/faults_test.go
@@ -25,7 +25,7 @@
 	pollInterval = 50 * time.Millisecond
 )
 
-func birthsURL(n *fleet.Node) string { return "http://" + n.Callers() + "/oficina-01/births" }
+func birthsURL(n *fleet.Node) string { return "http://" + n.CallerAddress() + "/oficina-01/births" }
 
 // sendUntilKnown repeats a keyed request until its outcome is known, as a caller
 // that gets an unknown outcome should.
@@ -52,7 +52,7 @@
 // TestKilledCoordinator kills the coordinator between a request and its repeat; no
 // operation may run twice.
 func TestKilledCoordinator(t *testing.T) {
-	f := startFleet(t, threeNodes(t), fleet.Options{Linked: true})
+	f := startFleet(t, threeNodes(t), fleet.Options{ViaFaultProxy: true})
 	killed := f.Coordinator()
 	require.NotNil(t, killed)
 	// One operation goes through the coordinator, whose memory is lost, and one
@@ -79,7 +79,7 @@
 // TestPausedCoordinator pauses the coordinator's process for longer than any lease.
 // Once resumed, it must neither grant operations nor eject upstreams by its old state.
 func TestPausedCoordinator(t *testing.T) {
-	f := startFleet(t, threeNodes(t), fleet.Options{Linked: true})
+	f := startFleet(t, threeNodes(t), fleet.Options{ViaFaultProxy: true})
 	paused := f.Coordinator()
 	require.NotNil(t, paused)
 	entry := otherNode(f, paused)
@@ -131,22 +131,22 @@
 // be refused.
 func TestStoreOutage(t *testing.T) {
 	f := startFleet(t, threeNodes(t), fleet.Options{})
-	require.NoError(t, f.SetPlatform(standin.PlatformFaults{Out: true}))
+	require.NoError(t, f.SetPlatformFaults(standin.PlatformFaults{Outage: true}))
 	require.NoError(t, f.SetMode("certificados-1", standin.Mode{FailShare: 1}))
 	observer := f.Nodes[0]
 	require.Eventually(t, func() bool {
 		for i, n := range f.Nodes {
-			got := send(t, http.MethodGet, "http://"+n.Callers()+"/oficina-01/births/118", fmt.Sprint("m", i), "", "")
+			got := send(t, http.MethodGet, "http://"+n.CallerAddress()+"/oficina-01/births/118", fmt.Sprint("m", i), "", "")
 			assert.Equal(t, http.StatusOK, got.status, got.body)
 		}
 		return phaseOf(t, f, observer, "certificados", "certificados-1") == "out"
 	}, waitTimeout, time.Millisecond, "the unhealthy upstream is not ejected")
 	assert.Equal(t, "10", send(t, http.MethodPost, birthsURL(f.Nodes[1]), "m", "while-out", "newborn").result)
-	output, err := f.Control(0, "account", "set", "montevideo", "oficina-50", "office=50")
+	output, err := f.Eiderctl(0, "account", "set", "montevideo", "oficina-50", "office=50")
 	assert.Equal(t, 7, exitCode(err), output)
-	require.NoError(t, f.SetPlatform(standin.PlatformFaults{}))
+	require.NoError(t, f.SetPlatformFaults(standin.PlatformFaults{}))
 	require.Eventually(t, func() bool {
-		output, err = f.Control(0, "account", "set", "montevideo", "oficina-50", "office=50", "--wait")
+		output, err = f.Eiderctl(0, "account", "set", "montevideo", "oficina-50", "office=50", "--wait")
 		return err == nil
 	}, waitTimeout, pollInterval, output)
 }
@@ -176,19 +176,19 @@
 func TestPublishWithLostResponse(t *testing.T) {
 	f := startFleet(t, threeNodes(t), fleet.Options{})
 	before := sequenceOf(t, f, "oficina-01")
-	require.NoError(t, f.SetPlatform(standin.PlatformFaults{LoseWrites: true}))
-	output, err := f.Control(0, "account", "set", "montevideo", "oficina-01", "office=77", "--publish-id", "once")
+	require.NoError(t, f.SetPlatformFaults(standin.PlatformFaults{LoseWrites: true}))
+	output, err := f.Eiderctl(0, "account", "set", "montevideo", "oficina-01", "office=77", "--publish-id", "once")
 	require.NoError(t, err, output)
-	output, err = f.Control(1, "account", "set", "montevideo", "oficina-01", "office=77", "--publish-id", "once")
+	output, err = f.Eiderctl(1, "account", "set", "montevideo", "oficina-01", "office=77", "--publish-id", "once")
 	require.NoError(t, err, output)
-	require.NoError(t, f.SetPlatform(standin.PlatformFaults{}))
+	require.NoError(t, f.SetPlatformFaults(standin.PlatformFaults{}))
 	assert.Equal(t, before+1, sequenceOf(t, f, "oficina-01"), "not published exactly once")
 }
 
 // sequenceOf returns the sequence of an account's bucket in the store.
 func sequenceOf(t *testing.T, f *fleet.Fleet, account string) int {
 	t.Helper()
-	output, err := f.Control(0, "account", "show", "montevideo", account, "-o", "json")
+	output, err := f.Eiderctl(0, "account", "show", "montevideo", account, "-o", "json")
 	require.NoError(t, err, output)
 	var sequence int
 	for line := range strings.Lines(output) {
@@ -209,7 +209,7 @@
 	var publishing sync.WaitGroup
 	for i := range codes {
 		publishing.Go(func() {
-			_, err := f.Control(i, "template", "publish", "../deployments/montevideo.template.yaml", "--base", "1")
+			_, err := f.Eiderctl(i, "template", "publish", "../deployments/montevideo.template.yaml", "--base", "1")
 			codes[i] = exitCode(err)
 		})
 	}
@@ -274,7 +274,7 @@
 	var last error
 	for attempt := range 200 {
 		n := f.Nodes[(caller+i+attempt)%len(f.Nodes)]
-		r, err := http.NewRequest(http.MethodGet, "http://"+n.Callers()+"/oficina-01/births/118", nil)
+		r, err := http.NewRequest(http.MethodGet, "http://"+n.CallerAddress()+"/oficina-01/births/118", nil)
 		if err != nil {
 			return err
 		}
@@ -309,7 +309,7 @@
 	f := startFleet(t, threeNodes(t), fleet.Options{})
 	last := f.Nodes[2]
 	require.Equal(t, "10", send(t, http.MethodPost, birthsURL(f.Nodes[0]), "m1", "before", "newborn").result)
-	require.NoError(t, f.SetPlatform(standin.PlatformFaults{Out: true}))
+	require.NoError(t, f.SetPlatformFaults(standin.PlatformFaults{Outage: true}))
 	for f.Coordinator() == last { // During the outage the coordinator could not be replaced.
 		last = f.Nodes[1]
 	}
@@ -321,7 +321,7 @@
 	after, err := f.Dump(last)
 	require.NoError(t, err)
 	assert.Equal(t, before.Sequences, after.Sequences)
-	got := send(t, http.MethodGet, "http://"+last.Callers()+"/oficina-01/births/118", "m", "", "")
+	got := send(t, http.MethodGet, "http://"+last.CallerAddress()+"/oficina-01/births/118", "m", "", "")
 	assert.Equal(t, http.StatusOK, got.status, got.body)
 	// The node may report an unknown outcome until the coordinator has received a
 	// message from it; the operation must not run again.
@@ -336,7 +336,7 @@
 	require.NoError(t, f.SetMode("certificados-2", standin.Mode{Leaving: true}))
 	require.Eventually(t, func() bool {
 		for i, n := range f.Nodes {
-			got := send(t, http.MethodGet, "http://"+n.Callers()+"/oficina-01/births/118", fmt.Sprint("m", i), "", "")
+			got := send(t, http.MethodGet, "http://"+n.CallerAddress()+"/oficina-01/births/118", fmt.Sprint("m", i), "", "")
 			assert.Equal(t, http.StatusOK, got.status, got.body)
 		}
 		for _, n := range f.Nodes {
--- a/bench/e2e/path_test.go
+++ b/bench/e2e/path_test.go
@@ -119,21 +119,21 @@
 // idempotency key and its repeats: repeats through any node must get the first
 // response, and a different body must be refused.
 func TestLookupAndKeyedOrder(t *testing.T) {
-	f := startFleet(t, threeNodes(t), fleet.Options{Linked: true})
+	f := startFleet(t, threeNodes(t), fleet.Options{ViaFaultProxy: true})
 	for i, n := range f.Nodes {
-		got := send(t, http.MethodGet, "http://"+n.Callers()+"/oficina-01/births/118", fmt.Sprintf("look-%d", i), "", "")
+		got := send(t, http.MethodGet, "http://"+n.CallerAddress()+"/oficina-01/births/118", fmt.Sprintf("look-%d", i), "", "")
 		require.NoError(t, got.err)
 		assert.Equal(t, http.StatusOK, got.status, got.body)
 	}
-	first := send(t, http.MethodPost, "http://"+f.Nodes[0].Callers()+"/oficina-01/births", "mark-1", "key-1", "newborn")
+	first := send(t, http.MethodPost, "http://"+f.Nodes[0].CallerAddress()+"/oficina-01/births", "mark-1", "key-1", "newborn")
 	require.NoError(t, first.err)
 	assert.Equal(t, "10", first.result, first.body)
 	for _, n := range f.Nodes {
-		again := send(t, http.MethodPost, "http://"+n.Callers()+"/oficina-01/births", "mark-2", "key-1", "newborn")
+		again := send(t, http.MethodPost, "http://"+n.CallerAddress()+"/oficina-01/births", "mark-2", "key-1", "newborn")
 		require.NoError(t, again.err)
 		assert.Equal(t, "11", again.result, again.body)
 		assert.Equal(t, first.body, again.body)
-		other := send(t, http.MethodPost, "http://"+n.Callers()+"/oficina-01/births", "mark-3", "key-1", "somebody else")
+		other := send(t, http.MethodPost, "http://"+n.CallerAddress()+"/oficina-01/births", "mark-3", "key-1", "somebody else")
 		assert.Equal(t, "25", other.result, other.body)
 	}
 	assert.Equal(t, 1, countStarts(t, f, "key-1"))
@@ -144,7 +144,7 @@
 	t.Helper()
 	n := 0
 	for _, u := range f.Upstreams {
-		text, err := os.ReadFile(u.Starts)
+		text, err := os.ReadFile(u.StartLog)
 		require.NoError(t, err)
 		for line := range strings.Lines(string(text)) {
 			if fields := strings.Split(line, " "); len(fields) > 1 && fields[1] == key {
@@ -159,18 +159,18 @@
 // nodes report the change in force; invalid and conflicting changes must be refused.
 func TestConfigurationReachesEveryNode(t *testing.T) {
 	f := startFleet(t, threeNodes(t), fleet.Options{})
-	output, err := f.Control(1, "account", "set", "montevideo", "oficina-99", "office=99", "--wait")
+	output, err := f.Eiderctl(1, "account", "set", "montevideo", "oficina-99", "office=99", "--wait")
 	require.NoError(t, err, output)
 	assert.Contains(t, output, "in force on 3 of 3 nodes")
 	for _, n := range f.Nodes {
-		got := send(t, http.MethodGet, "http://"+n.Callers()+"/oficina-99/births/1", "m", "", "")
+		got := send(t, http.MethodGet, "http://"+n.CallerAddress()+"/oficina-99/births/1", "m", "", "")
 		assert.Equal(t, http.StatusOK, got.status, got.body)
 	}
-	output, err = f.Control(1, "account", "set", "montevideo", "oficina-99", "lookup_timeout=1h")
+	output, err = f.Eiderctl(1, "account", "set", "montevideo", "oficina-99", "lookup_timeout=1h")
 	require.Error(t, err)
 	assert.Contains(t, output, "parameters.lookup_timeout: 1h is over the largest value 10s")
 	assert.Contains(t, output, "parameters.office: required")
-	output, err = f.Control(1, "account", "set", "montevideo", "oficina-99", "office=98", "--base", "7")
+	output, err = f.Eiderctl(1, "account", "set", "montevideo", "oficina-99", "office=98", "--base", "7")
 	require.Error(t, err)
 	assert.Contains(t, output, "conflict")
 }
--- a/bench/fleet/control.go
+++ b/bench/fleet/control.go
@@ -20,9 +20,9 @@
 	"eiderfold/port"
 )
 
-// Control runs eiderctl against a node.
-func (f *Fleet) Control(node int, arguments ...string) (string, error) {
-	c := exec.Command(f.binaries.Control, arguments...)
+// Eiderctl runs eiderctl against a node.
+func (f *Fleet) Eiderctl(node int, arguments ...string) (string, error) {
+	c := exec.Command(f.binaries.Eiderctl, arguments...)
 	c.Env = append(os.Environ(), "EIDERCTL_ADDRESS=http://"+f.Nodes[node].AdminAddress(), "EIDERCTL_TOKEN="+f.token)
 	output, err := c.CombinedOutput()
 	return string(output), err
@@ -103,8 +103,8 @@
 	return control(f.Upstream(name).Address, m)
 }
 
-// SetPlatform replaces the faults of the platform.
-func (f *Fleet) SetPlatform(faults standin.PlatformFaults) error {
+// SetPlatformFaults replaces the faults of the platform.
+func (f *Fleet) SetPlatformFaults(faults standin.PlatformFaults) error {
 	return control(f.PlatformAddress, faults)
 }
 
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -59,11 +59,11 @@
 type Options struct {
 	Dir  string // Directory of logs and settings.
 	Seed uint64
-	// Base numbers the /24 network of the nodes' IP addresses, 127.0.(Base+1).0, so
+	// Subnet numbers the /24 network of the nodes' IP addresses, 127.0.(Subnet+1).0, so
 	// that several fleets can run at once.
-	Base byte
-	// Linked puts the fault proxy between nodes, and between nodes and upstreams.
-	Linked bool
+	Subnet byte
+	// ViaFaultProxy puts the fault proxy between nodes, and between nodes and upstreams.
+	ViaFaultProxy bool
 	// Policy names a baseline policy to run instead of the product's; empty for the
 	// product's.
 	Policy string
@@ -87,8 +87,8 @@
 	callers, admin, peers string
 }
 
-// Callers returns the IP:port for callers.
-func (n *Node) Callers() string { return n.current.Load().callers }
+// CallerAddress returns the IP:port for callers.
+func (n *Node) CallerAddress() string { return n.current.Load().callers }
 
 // AdminAddress returns the IP:port of the admin API.
 func (n *Node) AdminAddress() string { return n.current.Load().admin }
@@ -117,8 +117,8 @@
 	Name          string
 	Service       string
 	Address       string // Address that the process listens on.
-	ListedAddress string // Address in the platform's list; a link's if Options.Linked.
-	Starts        string // File that logs the start of each request's work.
+	ListedAddress string // Address in the platform's list; a link's if Options.ViaFaultProxy.
+	StartLog      string // File that logs the start of each request's work.
 	dataCentre    string
 }
 
@@ -208,16 +208,16 @@
 func (f *Fleet) startUpstream(ctx context.Context, u *Upstream) error {
 	d := f.Deployment
 	f.generation++
-	u.Starts = filepath.Join(f.options.Dir, u.Name+".starts")
+	u.StartLog = filepath.Join(f.options.Dir, u.Name+".starts")
 	var err error
 	u.Process, u.Address, err = f.startStandin(ctx, "upstream", "--name", u.Name,
 		"--slots", strconv.Itoa(d.Slots), "--work", d.Work.String(), "--sigma", fmt.Sprint(d.Sigma),
-		"--log", u.Starts, "--seed", strconv.FormatUint(f.options.Seed+uint64(f.generation), 10))
+		"--log", u.StartLog, "--seed", strconv.FormatUint(f.options.Seed+uint64(f.generation), 10))
 	if err != nil {
 		return err
 	}
 	u.ListedAddress = u.Address
-	if f.options.Linked {
+	if f.options.ViaFaultProxy {
 		if u.ListedAddress, err = f.link(standin.Link{Name: u.Name, Network: "tcp", Listen: "127.0.0.1:0", Target: u.Address}); err != nil {
 			return err
 		}
@@ -237,12 +237,12 @@
 }
 
 func (f *Fleet) startNode(ctx context.Context, i int) error {
-	n := &Node{Name: "node-" + strconv.Itoa(i+1), IP: fmt.Sprintf("127.0.%d.%d", f.options.Base+1, i+1), dataCentre: f.dataCentre(i)}
-	beside := ""
+	n := &Node{Name: "node-" + strconv.Itoa(i+1), IP: fmt.Sprintf("127.0.%d.%d", f.options.Subnet+1, i+1), dataCentre: f.dataCentre(i)}
+	localUpstream := ""
 	if i < len(f.Upstreams) && f.Deployment.Nodes == 0 {
-		beside = f.Upstreams[i].Name
+		localUpstream = f.Upstreams[i].Name
 	}
-	text, err := f.settings(n, beside)
+	text, err := f.settings(n, localUpstream)
 	if err != nil {
 		return err
 	}
@@ -273,7 +273,7 @@
 		return err
 	}
 	peers := addresses["peers"]
-	if f.options.Linked {
+	if f.options.ViaFaultProxy {
 		if peers, err = f.link(standin.Link{Name: n.Name, Network: "udp", Listen: "127.0.0.1:0", Target: peers}); err != nil {
 			p.Kill()
 			return err
@@ -286,7 +286,7 @@
 // Restart starts a node whose process has exited.
 func (f *Fleet) Restart(ctx context.Context, n *Node) error { return f.run(ctx, n) }
 
-func (f *Fleet) settings(n *Node, beside string) ([]byte, error) {
+func (f *Fleet) settings(n *Node, localUpstream string) ([]byte, error) {
 	pair, err := f.authority.Issue(n.Name, []string{n.IP})
 	if err != nil {
 		return nil, err
@@ -298,7 +298,7 @@
 	return yaml.Marshal(map[string]any{
 		"node":        n.Name,
 		"data_centre": n.dataCentre,
-		"beside":      beside,
+		"beside":      localUpstream,
 		"templates":   []string{f.Deployment.Name},
 		"seeds":       f.seeds(),
 		"listen":      map[string]string{"callers": n.IP + ":0", "admin": n.IP + ":0", "peers": n.IP + ":0"},
@@ -337,13 +337,13 @@
 	return rules
 }
 
-// CutOff returns the rules that cut a data centre off from all others in both
+// PartitionRules returns the rules that cut a data centre off from all others in both
 // directions; none for an empty name.
-func (f *Fleet) CutOff(dataCentre string) []standin.Rule {
+func (f *Fleet) PartitionRules(dataCentre string) []standin.Rule {
 	var rules []standin.Rule
 	cut := func(n *Node, to, toDataCentre string) {
 		if dataCentre != "" && (n.dataCentre == dataCentre) != (toDataCentre == dataCentre) {
-			rules = append(rules, standin.Rule{From: n.IP, To: to, CutOut: true, CutIn: true})
+			rules = append(rules, standin.Rule{From: n.IP, To: to, DropOutbound: true, DropInbound: true})
 		}
 	}
 	for _, n := range f.Nodes {
@@ -359,7 +359,7 @@
 
 // publish sends the template and its accounts to the first node with eiderctl.
 func (f *Fleet) publish() error {
-	if output, err := f.Control(0, "template", "publish", f.Deployment.templatePath); err != nil {
+	if output, err := f.Eiderctl(0, "template", "publish", f.Deployment.templatePath); err != nil {
 		return errors.Wrap(err, output)
 	}
 	names := make([]string, 0, len(f.Deployment.Accounts))
@@ -372,7 +372,7 @@
 		for parameter, value := range f.Deployment.Accounts[name] {
 			arguments = append(arguments, parameter+"="+value)
 		}
-		if output, err := f.Control(0, arguments...); err != nil {
+		if output, err := f.Eiderctl(0, arguments...); err != nil {
 			return errors.Wrap(err, output)
 		}
 	}
--- a/bench/fleet/process.go
+++ b/bench/fleet/process.go
@@ -29,9 +29,9 @@
 
 // Binaries holds the paths of the programs that a deployment runs.
 type Binaries struct {
-	Node    string
-	Control string // eiderctl
-	Standin string
+	Node     string
+	Eiderctl string // eiderctl
+	Standin  string
 	// Baseline is a node that runs a baseline policy.
 	Baseline string
 	// Passthrough is a minimal proxy, for comparing the cost of a request.
@@ -43,7 +43,7 @@
 func Build(dir string) (Binaries, error) {
 	b := Binaries{
 		Node:     filepath.Join(dir, "eiderfold"),
-		Control:  filepath.Join(dir, "eiderctl"),
+		Eiderctl: filepath.Join(dir, "eiderctl"),
 		Standin:  filepath.Join(dir, "standin"),
 		Baseline: filepath.Join(dir, "baseline"),
 
@@ -51,7 +51,7 @@
 	}
 	for path, source := range map[string]string{
 		b.Node:     "eiderfold/cmd/eiderfold",
-		b.Control:  "eiderfold/cmd/eiderctl",
+		b.Eiderctl: "eiderfold/cmd/eiderctl",
 		b.Standin:  "eiderfold/bench/cmd/standin",
 		b.Baseline: "eiderfold/bench/cmd/baseline",
 
--- a/bench/fleet/synthetic.go
+++ b/bench/fleet/synthetic.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// Shape is the size of a synthetic deployment.
-type Shape struct {
+// SyntheticSize is the size of a synthetic deployment.
+type SyntheticSize struct {
 	Nodes     int
 	Upstreams int
 	Slots     int
@@ -21,7 +21,7 @@
 
 // Synthetic writes a deployment of one service in one data centre to dir and reads it
 // back.
-func Synthetic(dir string, s Shape) (*Deployment, error) {
+func Synthetic(dir string, s SyntheticSize) (*Deployment, error) {
 	const name = "synthetic"
 	template := fmt.Sprintf(`template: synthetic
 services:
--- a/bench/soak/cost_test.go
+++ b/bench/soak/cost_test.go
@@ -25,7 +25,7 @@
 func BenchmarkNode(b *testing.B) {
 	dir := b.TempDir()
 	program := build(b, dir, "eiderfold/cmd/eiderfold")
-	s := &soak{options: Options{Program: program, Dir: dir, Seed: 1, Nodes: 1}, store: standin.NewMetadata(), cutter: standin.NewCutter(), checker: newChecker()}
+	s := &soak{options: Options{Program: program, Dir: dir, Seed: 1, Nodes: 1}, store: standin.NewMetadata(), faultProxy: standin.NewFaultProxy(), checker: newChecker()}
 	require.NoError(b, s.start(b.Context()))
 	defer s.killNodes()
 	n := s.nodes[0]
--- a/bench/soak/faults.go
+++ b/bench/soak/faults.go
@@ -118,12 +118,12 @@
 }
 
 func (s *soak) holdLinks(_ context.Context, n *node) string {
-	s.applyRule(standin.Rule{To: n.name, CutOut: true, CutIn: true, Hold: true}, s.randomDuration(4*time.Second))
+	s.applyRule(standin.Rule{To: n.name, DropOutbound: true, DropInbound: true, Hold: true}, s.randomDuration(4*time.Second))
 	return "held links to " + n.name
 }
 
 func (s *soak) cutOneWay(_ context.Context, n *node) string {
-	s.applyRule(standin.Rule{From: n.ip, CutIn: true, Hold: true}, s.randomDuration(4*time.Second))
+	s.applyRule(standin.Rule{From: n.ip, DropInbound: true, Hold: true}, s.randomDuration(4*time.Second))
 	return "cut links one way from " + n.name
 }
 
@@ -141,7 +141,7 @@
 func (s *soak) applyRule(r standin.Rule, d time.Duration) {
 	s.mu.Lock()
 	s.rules = append(s.rules, r)
-	s.cutter.SetRules(append([]standin.Rule(nil), s.rules...))
+	s.faultProxy.SetRules(append([]standin.Rule(nil), s.rules...))
 	s.mu.Unlock()
 	time.Sleep(d)
 	s.mu.Lock()
@@ -152,13 +152,13 @@
 			break
 		}
 	}
-	s.cutter.SetRules(append([]standin.Rule(nil), s.rules...))
+	s.faultProxy.SetRules(append([]standin.Rule(nil), s.rules...))
 }
 
 func (s *soak) disruptStore(_ context.Context, n *node) string {
 	d := s.randomDuration(4 * time.Second)
 	s.mu.Lock()
-	faults := []standin.MetadataFaults{{Busy: true}, {Silent: true}, {LoseWrites: true}, {Deaf: true}, {Delay: 300 * time.Millisecond}, {Refuse: []string{n.ip}}}
+	faults := []standin.MetadataFaults{{Busy: true}, {Unresponsive: true}, {LoseWrites: true}, {DropChanges: true}, {Delay: 300 * time.Millisecond}, {RateLimited: []string{n.ip}}}
 	f := faults[s.random.IntN(len(faults))]
 	s.mu.Unlock()
 	s.store.SetFaults(f)
@@ -197,7 +197,7 @@
 func (s *soak) clearFaults() {
 	s.mu.Lock()
 	s.rules = nil
-	s.cutter.SetRules(nil)
+	s.faultProxy.SetRules(nil)
 	s.mu.Unlock()
 	s.store.SetFaults(standin.MetadataFaults{})
 }
--- a/bench/soak/node.go
+++ b/bench/soak/node.go
@@ -58,7 +58,7 @@
 }
 
 // prepare starts a node's upstream and writes the node's settings. It reserves the node's
-// addresses until the upstream and the cutter have theirs, and then releases them.
+// addresses until the upstream and the fault proxy have theirs, and then releases them.
 func (s *soak) prepare(ctx context.Context, n *node) error {
 	free, release, err := freeAddresses(n.ip, listenersPerNode)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	defer release()
 	links, reports, callers, ready := free[0], free[1], free[2], free[3]
-	advertised, err := s.cutter.Open(standin.Link{Name: n.name, Network: "tcp", Listen: n.ip + ":0", Target: links})
+	advertised, err := s.faultProxy.Open(standin.Link{Name: n.name, Network: "tcp", Listen: n.ip + ":0", Target: links})
 	if err != nil {
 		return errors.Wrap(err, "cutter")
 	}
--- a/bench/soak/soak.go
+++ b/bench/soak/soak.go
@@ -71,7 +71,7 @@
 	options          Options
 	random           *rand.Rand
 	store            *standin.Metadata
-	cutter           *standin.Cutter
+	faultProxy       *standin.FaultProxy
 	storeAddress     string // Address of the store.
 	nodes            []*node
 	checker          *checker
@@ -89,7 +89,7 @@
 
 // Run runs the soak for o.Seed and returns the violations found.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	s := &soak{options: o, random: rand.New(rand.NewPCG(o.Seed, o.Seed)), store: standin.NewMetadata(), cutter: standin.NewCutter(), checker: newChecker(), kernel: readKernelCounters(), evacuations: evacuations{start: map[string]time.Time{}}}
+	s := &soak{options: o, random: rand.New(rand.NewPCG(o.Seed, o.Seed)), store: standin.NewMetadata(), faultProxy: standin.NewFaultProxy(), checker: newChecker(), kernel: readKernelCounters(), evacuations: evacuations{start: map[string]time.Time{}}}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if o.Ending {
--- a/bench/standin/cutter.go
+++ b/bench/standin/faultproxy.go
@@ -13,14 +13,14 @@
 
 // Rule describes the faults on the link from a source address to a target.
 type Rule struct {
-	From   string        `json:"from"`    // Source IP address, "" for any.
-	To     string        `json:"to"`      // Name of the link, "" for any.
-	CutOut bool          `json:"cut_out"` // Drops what the client sends.
-	CutIn  bool          `json:"cut_in"`  // Drops what the target sends.
-	Hold   bool          `json:"hold"`    // Delays the bytes of the cut directions until the cut ends, instead of dropping them; TCP only.
-	Delay  time.Duration `json:"delay"`   // In each direction.
-	Reset  bool          `json:"reset"`   // Resets new connections, and open ones on their next data; drops datagrams.
-	Half   int           `json:"half"`    // Ends the target's stream after this many bytes, 0 for never; TCP only.
+	From          string        `json:"from"`    // Source IP address, "" for any.
+	To            string        `json:"to"`      // Name of the link, "" for any.
+	DropOutbound  bool          `json:"cut_out"` // Drops what the client sends.
+	DropInbound   bool          `json:"cut_in"`  // Drops what the target sends.
+	Hold          bool          `json:"hold"`    // Delays the bytes of dropped directions until the rule ends, instead of dropping them; TCP only.
+	Delay         time.Duration `json:"delay"`   // In each direction.
+	Reset         bool          `json:"reset"`   // Resets new connections, and open ones on their next data; drops datagrams.
+	TruncateAfter int           `json:"half"`    // Ends the target's stream after this many bytes, 0 for never; TCP only.
 }
 
 // Link is a target that is reached through the proxy.
@@ -31,8 +31,8 @@
 	Target  string `json:"target"`
 }
 
-// Cutter is a proxy that injects faults into links, by source and direction.
-type Cutter struct {
+// FaultProxy is a proxy that injects faults into links, by source and direction.
+type FaultProxy struct {
 	rules atomic.Pointer[[]Rule]
 }
 
@@ -41,19 +41,19 @@
 	holdPollInterval = 10 * time.Millisecond
 )
 
-// NewCutter returns a proxy without rules.
-func NewCutter() *Cutter {
-	c := &Cutter{}
-	c.rules.Store(&[]Rule{})
-	return c
+// NewFaultProxy returns a proxy without rules.
+func NewFaultProxy() *FaultProxy {
+	p := &FaultProxy{}
+	p.rules.Store(&[]Rule{})
+	return p
 }
 
 // SetRules replaces all rules.
-func (c *Cutter) SetRules(rules []Rule) { c.rules.Store(&rules) }
+func (p *FaultProxy) SetRules(rules []Rule) { p.rules.Store(&rules) }
 
 // ruleFor returns the first rule that matches, and the zero Rule if none does.
-func (c *Cutter) ruleFor(from netip.Addr, to string) Rule {
-	for _, r := range *c.rules.Load() {
+func (p *FaultProxy) ruleFor(from netip.Addr, to string) Rule {
+	for _, r := range *p.rules.Load() {
 		if (r.From == "" || r.From == from.String()) && (r.To == "" || r.To == to) {
 			return r
 		}
@@ -62,9 +62,9 @@
 }
 
 // Open starts forwarding a link and returns the address it listens on.
-func (c *Cutter) Open(l Link) (string, error) {
+func (p *FaultProxy) Open(l Link) (string, error) {
 	if l.Network == "udp" {
-		return c.openUDP(l)
+		return p.openUDP(l)
 	}
 	listener, err := net.Listen("tcp", l.Listen)
 	if err != nil {
@@ -76,7 +76,7 @@
 			if err != nil {
 				return
 			}
-			go c.forward(client, l)
+			go p.forward(client, l)
 		}
 	}()
 	return listener.Addr().String(), nil
@@ -90,10 +90,10 @@
 	return addr.Addr().Unmap()
 }
 
-func (c *Cutter) forward(client net.Conn, l Link) {
+func (p *FaultProxy) forward(client net.Conn, l Link) {
 	defer client.Close() //nolint:errcheck // The connection is abandoned.
 	from := ipAddr(client.RemoteAddr())
-	if c.ruleFor(from, l.Name).Reset {
+	if p.ruleFor(from, l.Name).Reset {
 		reset(client)
 		return
 	}
@@ -104,14 +104,14 @@
 	}
 	defer target.Close() //nolint:errcheck // The connection is abandoned.
 	done := make(chan struct{}, 2)
-	go c.copy(target, client, func() (Rule, bool) { r := c.ruleFor(from, l.Name); return r, r.CutOut }, false, done)
-	go c.copy(client, target, func() (Rule, bool) { r := c.ruleFor(from, l.Name); return r, r.CutIn }, true, done)
+	go p.copy(target, client, func() (Rule, bool) { r := p.ruleFor(from, l.Name); return r, r.DropOutbound }, false, done)
+	go p.copy(client, target, func() (Rule, bool) { r := p.ruleFor(from, l.Name); return r, r.DropInbound }, true, done)
 	<-done
 }
 
 // copy forwards one direction of a connection. Data that arrives during a cut is
 // lost, as on a link that drops packets until the sender stops retransmitting.
-func (c *Cutter) copy(to, from net.Conn, rule func() (Rule, bool), fromTarget bool, done chan<- struct{}) {
+func (p *FaultProxy) copy(to, from net.Conn, rule func() (Rule, bool), fromTarget bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, bufferSize)
 	forwarded := 0
@@ -128,8 +128,8 @@
 		}
 		if n > 0 && !cut {
 			time.Sleep(r.Delay)
-			if fromTarget && r.Half > 0 && forwarded+n > r.Half {
-				_, _ = to.Write(buffer[:max(r.Half-forwarded, 0)])
+			if fromTarget && r.TruncateAfter > 0 && forwarded+n > r.TruncateAfter {
+				_, _ = to.Write(buffer[:max(r.TruncateAfter-forwarded, 0)])
 				return
 			}
 			forwarded += n
@@ -155,7 +155,7 @@
 }
 
 // openUDP forwards datagrams, with a separate socket to the target for each client.
-func (c *Cutter) openUDP(l Link) (string, error) {
+func (p *FaultProxy) openUDP(l Link) (string, error) {
 	addr, err := net.ResolveUDPAddr("udp", l.Listen)
 	if err != nil {
 		return "", err
@@ -168,11 +168,11 @@
 	if err != nil {
 		return "", err
 	}
-	go c.forwardUDP(conn, target, l)
+	go p.forwardUDP(conn, target, l)
 	return conn.LocalAddr().String(), nil
 }
 
-func (c *Cutter) forwardUDP(conn *net.UDPConn, target *net.UDPAddr, l Link) {
+func (p *FaultProxy) forwardUDP(conn *net.UDPConn, target *net.UDPAddr, l Link) {
 	sockets := map[netip.AddrPort]*net.UDPConn{}
 	buffer := make([]byte, bufferSize)
 	for {
@@ -187,10 +187,10 @@
 				continue
 			}
 			sockets[client] = socket
-			go c.forwardRepliesUDP(conn, socket, client, l)
+			go p.forwardRepliesUDP(conn, socket, client, l)
 		}
-		r := c.ruleFor(from, l.Name)
-		if r.CutOut || r.Reset {
+		r := p.ruleFor(from, l.Name)
+		if r.DropOutbound || r.Reset {
 			continue
 		}
 		packet := append([]byte(nil), buffer[:n]...)
@@ -198,7 +198,7 @@
 	}
 }
 
-func (c *Cutter) forwardRepliesUDP(conn, socket *net.UDPConn, client netip.AddrPort, l Link) {
+func (p *FaultProxy) forwardRepliesUDP(conn, socket *net.UDPConn, client netip.AddrPort, l Link) {
 	buffer := make([]byte, bufferSize)
 	for {
 		n, err := socket.Read(buffer)
@@ -207,8 +207,8 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		r := c.ruleFor(client.Addr().Unmap(), l.Name)
-		if r.CutIn || r.Reset {
+		r := p.ruleFor(client.Addr().Unmap(), l.Name)
+		if r.DropInbound || r.Reset {
 			continue
 		}
 		packet := append([]byte(nil), buffer[:n]...)
@@ -218,21 +218,21 @@
 
 // ServeHTTP serves the control API: POST /link opens a link, PUT /rules replaces
 // the rules.
-func (c *Cutter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *FaultProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var err error
 	switch r.Method + " " + r.URL.Path {
 	case "POST /link":
 		var l Link
 		if err = json.NewDecoder(r.Body).Decode(&l); err == nil {
 			var addr string
-			if addr, err = c.Open(l); err == nil {
+			if addr, err = p.Open(l); err == nil {
 				_, _ = io.WriteString(w, addr)
 			}
 		}
 	case "PUT /rules":
 		var rules []Rule
 		if err = json.NewDecoder(r.Body).Decode(&rules); err == nil {
-			c.SetRules(rules)
+			p.SetRules(rules)
 			_, _ = io.WriteString(w, strconv.Itoa(len(rules)))
 		}
 	default:
--- a/bench/standin/metadata.go
+++ b/bench/standin/metadata.go
@@ -14,12 +14,12 @@
 
 // MetadataFaults are the faults that a Metadata store injects.
 type MetadataFaults struct {
-	Busy       bool          `json:"busy"`        // Every request gets 503.
-	Silent     bool          `json:"silent"`      // No request gets a response.
-	LoseWrites bool          `json:"lose_writes"` // Writes take effect, but their responses are lost.
-	Deaf       bool          `json:"deaf"`        // Watches report no changes until they time out.
-	Delay      time.Duration `json:"delay"`
-	Refuse     []string      `json:"refuse"` // IP addresses of nodes that get 429.
+	Busy         bool          `json:"busy"`        // Every request gets 503.
+	Unresponsive bool          `json:"silent"`      // No request gets a response.
+	LoseWrites   bool          `json:"lose_writes"` // Writes take effect, but their responses are lost.
+	DropChanges  bool          `json:"deaf"`        // Watches report no changes until they time out.
+	Delay        time.Duration `json:"delay"`
+	RateLimited  []string      `json:"refuse"` // IP addresses of nodes that get 429.
 }
 
 // Metadata is an in-memory server for the published protocol of the store on the
@@ -58,7 +58,7 @@
 // SetFaults replaces the faults.
 func (m *Metadata) SetFaults(f MetadataFaults) {
 	m.faults.Store(&f)
-	m.directory.SetFaults(memory.Faults{DropChanges: f.Deaf})
+	m.directory.SetFaults(memory.Faults{DropChanges: f.DropChanges})
 }
 
 // Calls returns the number of requests received, other than control requests.
@@ -94,14 +94,14 @@
 			return
 		}
 		host, _, _ := strings.Cut(r.RemoteAddr, ":")
-		for _, refused := range f.Refuse {
+		for _, refused := range f.RateLimited {
 			if host == refused {
 				http.Error(w, "too many", http.StatusTooManyRequests)
 				return
 			}
 		}
 		switch {
-		case f.Silent:
+		case f.Unresponsive:
 			<-r.Context().Done()
 		case f.Busy:
 			http.Error(w, "busy", http.StatusServiceUnavailable)
--- a/bench/standin/platform.go
+++ b/bench/standin/platform.go
@@ -29,7 +29,7 @@
 
 // PlatformFaults are the faults that a Platform injects.
 type PlatformFaults struct {
-	Out        bool          `json:"out"`         // Every request fails, except registrations and deregistrations.
+	Outage     bool          `json:"out"`         // Every request fails, except registrations and deregistrations.
 	LoseWrites bool          `json:"lose_writes"` // Writes take effect, but their responses are lost.
 	Delay      time.Duration `json:"delay"`
 	ListLag    time.Duration `json:"list_lag"`   // Delay until a change shows in the instance list.
@@ -92,7 +92,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		f := p.faults.Load()
 		time.Sleep(f.Delay)
-		if f.Out {
+		if f.Outage {
 			p.refused.Add(1)
 			http.Error(w, "out", http.StatusInternalServerError)
 			return
--- a/bench/standin/platform_test.go
+++ b/bench/standin/platform_test.go
@@ -94,7 +94,7 @@
 		}
 	}
 	assert.NotZero(t, refused)
-	p.SetFaults(PlatformFaults{Out: true})
+	p.SetFaults(PlatformFaults{Outage: true})
 	_, err = c.Get(t.Context(), "k")
 	assert.ErrorIs(t, err, port.ErrUnavailable)
 }
--- a/bench/standin/upstream.go
+++ b/bench/standin/upstream.go
@@ -17,15 +17,15 @@
 
 // Mode sets the faults that an upstream simulates.
 type Mode struct {
-	FailShare  float64       `json:"fail_share"`  // Share of requests that get 500.
-	SlowFactor float64       `json:"slow_factor"` // Factor on the work time; 0 and 1 are normal speed.
-	Hang       bool          `json:"hang"`        // Accepts requests and does not respond for hangLimit.
-	Cut        float64       `json:"cut"`         // Share of responses that are truncated halfway.
-	FlapPeriod time.Duration `json:"flap_period"` // Time for which FailShare, SlowFactor, Hang and Cut alternately apply and do not; 0 for always.
-	Shed       bool          `json:"shed"`        // Refuses all requests with 503 and Retry-After.
-	Leaving    bool          `json:"leaving"`     // Refuses all requests as Shed does and reports that it is shutting down.
-	BadCaller  string        `json:"bad_caller"`  // Client account whose requests always get 500.
-	Cold       time.Duration `json:"cold"`        // Time after the start in which work takes twice as long.
+	FailShare      float64       `json:"fail_share"`  // Share of requests that get 500.
+	SlowFactor     float64       `json:"slow_factor"` // Factor on the work time; 0 and 1 are normal speed.
+	Hang           bool          `json:"hang"`        // Accepts requests and does not respond for hangLimit.
+	TruncateShare  float64       `json:"cut"`         // Share of responses that are truncated halfway.
+	FlapPeriod     time.Duration `json:"flap_period"` // Time for which FailShare, SlowFactor, Hang and TruncateShare alternately apply and do not; 0 for always.
+	Shed           bool          `json:"shed"`        // Refuses all requests with 503 and Retry-After.
+	Leaving        bool          `json:"leaving"`     // Refuses all requests as Shed does and reports that it is shutting down.
+	FailingAccount string        `json:"bad_caller"`  // Client account whose requests always get 500.
+	ColdPeriod     time.Duration `json:"cold"`        // Time after the start in which work takes twice as long.
 }
 
 // UpstreamOptions are the settings of an upstream that do not change while it runs.
@@ -61,9 +61,9 @@
 	Failed    int64 `json:"failed"`
 	Shed      int64 `json:"shed"`
 	Expired   int64 `json:"late"` // Refused because the deadline had passed.
-	// Hits lists when requests arrived, in milliseconds since the last change of mode.
+	// Arrivals lists when requests arrived, in milliseconds since the last change of mode.
 	// It shows for how long an unhealthy upstream kept receiving requests.
-	Hits []int64 `json:"hits,omitempty"`
+	Arrivals []int64 `json:"hits,omitempty"`
 }
 
 const (
@@ -97,7 +97,7 @@
 // SetMode replaces the mode and clears the hits.
 func (u *Upstream) SetMode(m Mode) {
 	u.mu.Lock()
-	u.counts.Hits = nil
+	u.counts.Arrivals = nil
 	u.mu.Unlock()
 	u.modeChanged.Store(time.Now().UnixNano())
 	u.mode.Store(&m)
@@ -131,13 +131,13 @@
 	u.recordStart(r)
 	unhealthy := m.FlapPeriod == 0 || time.Since(time.Unix(0, u.modeChanged.Load()))/m.FlapPeriod%2 == 0
 	u.simulateWork(r, m, unhealthy)
-	if unhealthy && u.randomFloat() < m.FailShare || m.BadCaller != "" && r.Header.Get("Eiderfold-Account") == m.BadCaller {
+	if unhealthy && u.randomFloat() < m.FailShare || m.FailingAccount != "" && r.Header.Get("Eiderfold-Account") == m.FailingAccount {
 		u.updateCounts(func(c *UpstreamCounts) { c.Failed++ })
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	u.updateCounts(func(c *UpstreamCounts) { c.Succeeded++ })
-	u.respond(w, r, body, unhealthy && u.randomFloat() < m.Cut)
+	u.respond(w, r, body, unhealthy && u.randomFloat() < m.TruncateShare)
 }
 
 // deadlinePassed reports whether the request's deadline, if it has one, has passed.
@@ -181,7 +181,7 @@
 	if unhealthy && m.SlowFactor > 0 {
 		factor *= m.SlowFactor
 	}
-	if time.Since(u.started) < m.Cold {
+	if time.Since(u.started) < m.ColdPeriod {
 		factor *= coldSlowFactor
 	}
 	select {
@@ -205,7 +205,7 @@
 
 func (u *Upstream) recordHit() {
 	at := time.Since(time.Unix(0, u.modeChanged.Load())).Milliseconds()
-	u.updateCounts(func(c *UpstreamCounts) { c.Hits = append(c.Hits, at) })
+	u.updateCounts(func(c *UpstreamCounts) { c.Arrivals = append(c.Arrivals, at) })
 }
 
 func (u *Upstream) randomFloat() float64 {
