--- a/gate/admission.go
+++ b/gate/admission.go
@@ -28,9 +28,9 @@
 type entry struct {
 	Offered
 	phase       phase
-	position    overload.Place // Key in the queue.
-	expires     time.Time      // When a grant lapses, or the wait in the queue ends.
-	admitted    time.Time      // When it got its slot.
+	queueKey    overload.QueueKey // Its order in the queue.
+	expires     time.Time         // When a grant lapses, or the wait in the queue ends.
+	admitted    time.Time         // When it got its slot.
 	started     time.Time
 	upstream    port.Incarnation // The incarnation that runs it.
 	sample      *sample          // Evidence for the hang detector, once it runs.
@@ -111,7 +111,7 @@
 
 // Status returns the status that is sent to other nodes.
 func (a *Admission) Status() link.Status {
-	return link.Status{Mode: a.Mode(), Upstream: a.upstream.ID, Slots: a.slots, Usual: a.meanResponseTime, Suspect: a.suspicion}
+	return link.Status{Mode: a.Mode(), Upstream: a.upstream.ID, Slots: a.slots, MeanResponseTime: a.meanResponseTime, Suspicion: a.suspicion}
 }
 
 // offered grants a slot, queues the offer, or refuses it if the wait in the queue would make
@@ -120,10 +120,10 @@
 	if reason := a.refusalReason(m); reason != link.ReasonNone {
 		return a.refuse(m, reason)
 	}
-	e := &entry{Offered: m, position: overload.NewPlace(m.At, m.Priority, m.Aim, m.Deadline)}
-	expected := a.expectedTime(m.Kind, m.Aim.Sub(m.At))
+	e := &entry{Offered: m, queueKey: overload.NewQueueKey(m.At, m.Priority, m.TargetDeadline, m.Deadline)}
+	expected := a.expectedTime(m.Kind, m.TargetDeadline.Sub(m.At))
 	if a.switches.On(switches.LateLast) {
-		e.position.Note(m.At, expected)
+		e.queueKey.Update(m.At, expected)
 	}
 	// An entry that is queued while a slot is free is a non-retryable request that has to wait
 	// (mustWait). It does not block others.
@@ -136,8 +136,8 @@
 	}
 	i, _ := slices.BinarySearchFunc(a.queue, e, compareQueued)
 	wait := a.wait(m.At, i)
-	if i >= maxQueuePerSlot*a.slots || m.At.Add(wait+expected).After(e.position.Limit()) || !a.mayWait(e, wait) {
-		return []Command{Refuse{Key: m.Key, Reason: link.ReasonBusy, After: wait}}
+	if i >= maxQueuePerSlot*a.slots || m.At.Add(wait+expected).After(e.queueKey.Limit()) || !a.mayWait(e, wait) {
+		return []Command{Refuse{Key: m.Key, Reason: link.ReasonBusy, RetryAfter: wait}}
 	}
 	e.Ready = false // Another gate may get the request meanwhile; the commit decides.
 	a.entries[m.Key] = e
@@ -148,7 +148,7 @@
 
 // refuse refuses an offer for any reason other than its wait in the queue.
 func (a *Admission) refuse(m Offered, reason link.Reason) []Command {
-	return []Command{Refuse{Key: m.Key, Reason: reason, After: a.retryAfter(m.At, reason)}}
+	return []Command{Refuse{Key: m.Key, Reason: reason, RetryAfter: a.retryAfter(m.At, reason)}}
 }
 
 // retryAfter returns how soon an offer that was refused for a reason may be made again; 0 for
@@ -173,7 +173,7 @@
 		return link.ReasonTrial
 	case !m.Deadline.After(m.At):
 		return link.ReasonExpired
-	case m.Claim.Repeats() && !a.budget.Has(m.At, m.Claim):
+	case m.AttemptKind.NeedsBudget() && !a.budget.CanTake(m.At, m.AttemptKind):
 		return link.ReasonBudget
 	default:
 		return link.ReasonNone
@@ -203,8 +203,8 @@
 	a.evacuated = m.On
 }
 
-// Crowded reports whether all slots are taken.
-func (a *Admission) Crowded() bool { return a.busy() >= a.slots }
+// Saturated reports whether all slots are taken.
+func (a *Admission) Saturated() bool { return a.busy() >= a.slots }
 
 // canAdmit reports whether the entry may get a slot now. While the upstream may be
 // unresponsive, non-retryable requests stay in the queue until another attempt is answered, or
@@ -227,7 +227,7 @@
 // answer it. While nothing else runs, one goes ahead: a service may have no other requests, and
 // without any attempt the evidence would never change.
 func (a *Admission) mustWait(at time.Time, e *entry) bool {
-	if e.Retryable || e.Force || a.busy() == 0 || !a.switches.On(switches.Hold) {
+	if e.Retryable || e.Force || a.busy() == 0 || !a.switches.On(switches.HoldUnresponsive) {
 		return false
 	}
 	return a.evidence(at) >= holdEvidence
@@ -263,10 +263,10 @@
 // takeBudget takes a repeat from the budget and reports whether the entry may start. An entry
 // that is no repeat needs no budget.
 func (a *Admission) takeBudget(at time.Time, e *entry) bool {
-	if !e.Claim.Repeats() {
+	if !e.AttemptKind.NeedsBudget() {
 		return true
 	}
-	if !a.budget.Take(at, e.Claim) {
+	if !a.budget.TryTake(at, e.AttemptKind) {
 		return false
 	}
 	e.budgetTaken = at
@@ -278,20 +278,20 @@
 	e.phase = running
 	e.started = at
 	e.upstream = a.upstream
-	e.sample = a.addSample(at, e.Kind, e.Aim)
+	e.sample = a.addSample(at, e.Kind, e.TargetDeadline)
 	a.cold.noteStart(at)
-	a.countStart(at, e.Claim)
+	a.countStart(at, e.AttemptKind)
 	return []Command{Start{Key: e.Key}}
 }
 
 // countStart counts the start of an attempt that needs no budget.
-func (a *Admission) countStart(at time.Time, c budget.Claim) {
-	if c.Repeats() {
+func (a *Admission) countStart(at time.Time, k budget.AttemptKind) {
+	if k.NeedsBudget() {
 		return
 	}
-	a.budget.Earn(at)
-	if c == budget.Charged {
-		a.budget.Charge(at)
+	a.budget.CountFirst(at)
+	if k == budget.Charged {
+		a.budget.CountCharged(at)
 	}
 }
 
--- a/gate/attempt.go
+++ b/gate/attempt.go
@@ -28,9 +28,9 @@
 }
 
 // fingerprint returns the request's fingerprint, which is the same for all of its attempts.
-func (ao *activeOffer) fingerprint() quarantine.Print {
+func (ao *activeOffer) fingerprint() quarantine.Fingerprint {
 	r := ao.offer.Content
-	return quarantine.PrintOf(r.Method, r.Host, r.Target, ao.offer.Account, r.Body)
+	return quarantine.FingerprintOf(r.Method, r.Host, r.Target, ao.offer.Account, r.Body)
 }
 
 // start runs an offer in the background. The caller holds the lock.
@@ -48,7 +48,7 @@
 func (g *Gate) run(ctx context.Context, ao *activeOffer, upstream port.Incarnation) {
 	defer ao.cancel()
 	started := time.Now()
-	outgoing := port.OutgoingTerms{Left: ao.deadline.Sub(started), Upstream: upstream.ID, CallerService: ao.offer.CallerService, Account: ao.offer.Account}
+	outgoing := port.OutgoingMetadata{TimeLeft: ao.deadline.Sub(started), Upstream: upstream.ID, CallerService: ao.offer.CallerService, Account: ao.offer.Account}
 	a, f := g.client.do(ctx, ao.offer.Content, outgoing, !ao.offer.Retryable)
 	took := time.Since(started)
 	if f != nil && f.closedByPeer {
@@ -56,8 +56,8 @@
 	}
 	frame, outcome := g.result(ao, a, f)
 	g.updateQuarantine(ao, frame, outcome, upstream, started, f)
-	if outcome == Erred && g.switches.On(switches.OwnCalls) && g.nestedRequestFailed(started, time.Now()) {
-		outcome = CallFailed
+	if outcome == Erred && g.switches.On(switches.NestedRequests) && g.nestedRequestFailed(started, time.Now()) {
+		outcome = NestedFailed
 	}
 	g.log.Debug("attempt ended", zap.String("attempt", ao.offer.Attempt), zap.Stringer("upstream", upstream),
 		zap.String("outcome", outcome.String()), zap.Duration("took", took))
@@ -83,7 +83,7 @@
 		g.attributeCrash(upstream)
 		if frame.Failed != nil {
 			g.count("upstream_ended_under_attempt")
-			record := g.tracker.Ended(time.Now(), ao.fingerprint(), upstream.String(), started)
+			record := g.tracker.Crashed(time.Now(), ao.fingerprint(), upstream.String(), started)
 			frame.Failed.Record = &record
 		}
 	case outcome == NoEvidence && frame.Failed != nil:
@@ -127,7 +127,7 @@
 }
 
 // finish sends the result of an attempt. If the request is not retryable, it keeps the result
-// for an Ask.
+// for an OutcomeQuery.
 func (g *Gate) finish(ao *activeOffer, frame *link.Frame) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -136,7 +136,7 @@
 		g.ended[ao.offer.Key] = endedAttempt{frame: frame, expires: time.Now().Add(answerRetention)}
 	}
 	if frame.Answer != nil {
-		frame.Answer.Usual = g.admission.meanResponseTime
+		frame.Answer.MeanResponseTime = g.admission.meanResponseTime
 	}
 	ao.sink.Send(frame)
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -18,8 +18,9 @@
 const (
 	// tickInterval is the resolution of all timeouts that depend on time alone.
 	tickInterval = 50 * time.Millisecond
-	// answerRetention is how long the result of a finished attempt is kept for an Ask after a
-	// broken link. It has to exceed how long an ingress waits for the link (its rejoinTime).
+	// answerRetention is how long the result of a finished attempt is kept for an OutcomeQuery
+	// after a broken link. It has to exceed how long an ingress waits for the link (its
+	// rejoinTime).
 	answerRetention = 6 * time.Second
 )
 
@@ -37,7 +38,7 @@
 	Observe(name string, d time.Duration)
 }
 
-// endedAttempt is the result of a finished attempt, kept for an Ask.
+// endedAttempt is the result of a finished attempt, kept for an OutcomeQuery.
 type endedAttempt struct {
 	frame   *link.Frame
 	expires time.Time
@@ -46,7 +47,7 @@
 // upstreamClient sends requests to the upstream.
 type upstreamClient interface {
 	// do sends a request once and returns the complete answer.
-	do(ctx context.Context, r *link.Content, t port.OutgoingTerms, once bool) (*answer, *failure)
+	do(ctx context.Context, r *link.Content, m port.OutgoingMetadata, once bool) (*answer, *failure)
 	// processEnded reports whether the upstream's process is gone.
 	processEnded(ctx context.Context) bool
 	// checkHealth returns the id of the incarnation that reports itself healthy.
@@ -70,7 +71,7 @@
 	ended        map[link.Key]endedAttempt
 	expiredUpTo  map[uint64]uint64 // By origin, the highest number of a non-retryable request whose result is no longer kept.
 	failures     []localFailure
-	tracker      *quarantine.Book
+	tracker      *quarantine.SharedTracker
 	abandoned    abandonedList
 	lastActivity time.Time // When the upstream last answered or reported.
 	switches     switches.Set
@@ -89,7 +90,7 @@
 
 // WithQuarantine sets the shared tracker of requests that crash upstreams; without it, the gate
 // tracks only crashes of its own upstream.
-func WithQuarantine(b *quarantine.Book) Option { return func(g *Gate) { g.tracker = b } }
+func WithQuarantine(t *quarantine.SharedTracker) Option { return func(g *Gate) { g.tracker = t } }
 
 // WithSwitches sets which mechanisms are on; without it, all are.
 func WithSwitches(s switches.Set) Option { return func(g *Gate) { g.switches = s } }
@@ -122,7 +123,7 @@
 		g.budget = budget.New(0, 0, time.Now())
 	}
 	if g.tracker == nil {
-		g.tracker = quarantine.NewBook(func([]quarantine.Command) {})
+		g.tracker = quarantine.NewSharedTracker(func([]quarantine.Command) {})
 	}
 	g.admission = NewAdmission(u.Service, g.budget)
 	g.admission.SetSwitches(g.switches)
@@ -154,15 +155,15 @@
 	return g.admission.Status()
 }
 
-// Crowded reports whether all slots are taken.
-func (g *Gate) Crowded() bool {
+// Saturated reports whether all slots are taken.
+func (g *Gate) Saturated() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.admission.Crowded()
+	return g.admission.Saturated()
 }
 
-// Busy returns how many offers are queued, granted or running.
-func (g *Gate) Busy() int {
+// ActiveOffers returns how many offers are queued, granted or running.
+func (g *Gate) ActiveOffers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.active)
--- a/gate/nested_test.go
+++ b/gate/nested_test.go
@@ -17,7 +17,7 @@
 // failingClient answers each request with status 500 after some time.
 type failingClient struct{ work time.Duration }
 
-func (u failingClient) do(context.Context, *link.Content, port.OutgoingTerms, bool) (*answer, *failure) {
+func (u failingClient) do(context.Context, *link.Content, port.OutgoingMetadata, bool) (*answer, *failure) {
 	time.Sleep(u.work)
 	return &answer{status: 500}, nil
 }
@@ -48,9 +48,9 @@
 				synctest.Wait()
 				for i := range uint64(3) {
 					began := time.Now()
-					g.Handle(discardSink{}, &link.Frame{Offer: &link.Offer{Key: link.Key{Number: i + 1}, Service: "a", Left: 5 * time.Second, Retryable: true, Content: &link.Content{}}})
+					g.Handle(discardSink{}, &link.Frame{Offer: &link.Offer{Key: link.Key{Number: i + 1}, Service: "a", TimeLeft: 5 * time.Second, Retryable: true, Content: &link.Content{}}})
 					time.Sleep(c.fails)
-					g.NoteFailure(began.Add(c.arrives))
+					g.RecordFailure(began.Add(c.arrives))
 					time.Sleep(work)
 				}
 				assert.Equal(t, c.want, g.Status().Mode)
--- a/gate/offer.go
+++ b/gate/offer.go
@@ -18,8 +18,8 @@
 		g.commit(now, from, f.Commit)
 	case f.Withdraw != nil:
 		g.withdraw(now, f.Withdraw.Key)
-	case f.Ask != nil:
-		g.ask(from, f.Ask.Key)
+	case f.OutcomeQuery != nil:
+		g.answerQuery(from, f.OutcomeQuery.Key)
 	}
 }
 
@@ -31,34 +31,34 @@
 		return // A duplicate; the first offer stays valid.
 	}
 	if o.Record != nil {
-		g.tracker.Heard(now, *o.Record)
+		g.tracker.Merge(now, *o.Record)
 	}
-	ao := &activeOffer{offer: o, sink: from, deadline: now.Add(o.Left), repeat: o.Claim != budget.First}
-	ao.target = g.admission.AimOf(now, ao.deadline, o.Aim)
+	ao := &activeOffer{offer: o, sink: from, deadline: now.Add(o.TimeLeft), repeat: o.AttemptKind != budget.First}
+	ao.target = g.admission.TargetDeadline(now, ao.deadline, o.Target)
 	g.active[o.Key] = ao
 	g.mu.Unlock()
 	if o.Content != nil && g.refuseQuarantined(now, ao) {
 		return
 	}
 	g.update(Offered{
-		At:        now,
-		Key:       o.Key,
-		Service:   o.Service,
-		Upstream:  o.Upstream,
-		Deadline:  ao.deadline,
-		Aim:       ao.target,
-		Priority:  g.effectivePriority(o.Priority),
-		Retryable: o.Retryable,
-		Force:     o.Force,
-		Ready:     o.Content != nil,
-		Kind:      o.Kind,
-		Claim:     o.Claim,
+		At:             now,
+		Key:            o.Key,
+		Service:        o.Service,
+		Upstream:       o.Upstream,
+		Deadline:       ao.deadline,
+		TargetDeadline: ao.target,
+		Priority:       g.effectivePriority(o.Priority),
+		Retryable:      o.Retryable,
+		Force:          o.Force,
+		Ready:          o.Content != nil,
+		Kind:           o.Kind,
+		AttemptKind:    o.AttemptKind,
 	})
 }
 
-// AimOf returns the target deadline of an offer by the time left until it, which is negative if
-// it has passed and 0 if there is none. Without one, it returns the deadline.
-func (a *Admission) AimOf(now, deadline time.Time, left time.Duration) time.Time {
+// TargetDeadline returns the target deadline of an offer by the time left until it, which is
+// negative if it has passed and 0 if there is none. Without one, it returns the deadline.
+func (a *Admission) TargetDeadline(now, deadline time.Time, left time.Duration) time.Time {
 	ignored := left < 0 && !a.switches.On(switches.LateLast)
 	if left == 0 || ignored || now.Add(left).After(deadline) {
 		return deadline
@@ -81,7 +81,7 @@
 	ao := g.active[m.Key]
 	if ao != nil {
 		ao.offer.Content = m.Content
-		ao.deadline = now.Add(m.Left)
+		ao.deadline = now.Add(m.TimeLeft)
 		ao.repeat = m.Repeat
 	}
 	g.mu.Unlock()
@@ -97,12 +97,12 @@
 // refuseQuarantined refuses a quarantined request and reports whether it did. The gate checks
 // just before the start, as the ingress may not have the record yet.
 func (g *Gate) refuseQuarantined(now time.Time, ao *activeOffer) bool {
-	left := g.tracker.Held(now, ao.fingerprint)
+	left := g.tracker.Remaining(now, ao.fingerprint)
 	if left == 0 {
 		return false
 	}
 	g.count("gate_refused_" + link.ReasonQuarantined.String())
-	ao.sink.Send(&link.Frame{Refused: &link.Refused{Key: ao.offer.Key, Reason: link.ReasonQuarantined, After: left}})
+	ao.sink.Send(&link.Frame{Refused: &link.Refused{Key: ao.offer.Key, Reason: link.ReasonQuarantined, RetryAfter: left}})
 	g.withdraw(now, ao.offer.Key)
 	return true
 }
@@ -117,8 +117,8 @@
 	}
 }
 
-// ask answers the ingress about a committed offer whose link broke.
-func (g *Gate) ask(from Sink, k link.Key) {
+// answerQuery answers the ingress about a committed offer whose link broke.
+func (g *Gate) answerQuery(from Sink, k link.Key) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ao := g.active[k]; ao != nil && ao.cancel != nil {
@@ -132,7 +132,7 @@
 	}
 	if g.active[k] == nil && k.Number <= g.expiredUpTo[k.Origin] {
 		// It may have run and its result may have expired: the asking node may have been
-		// suspended, and its clock with it, so its Ask can come at any later time.
+		// suspended, and its clock with it, so its OutcomeQuery can come at any later time.
 		from.Send(&link.Frame{Failed: &link.Failed{Key: k, Detail: "its end is no longer kept"}})
 		return
 	}
@@ -140,9 +140,9 @@
 	from.Send(&link.Frame{Refused: &link.Refused{Key: k, Reason: link.ReasonNeverSeen}})
 }
 
-// Lost withdraws the offers that came over a broken link. Running non-retryable requests go on,
-// and the ingress can ask for their results.
-func (g *Gate) Lost(from Sink) {
+// LinkLost withdraws the offers that came over a broken link. Running non-retryable requests
+// go on, and the ingress can ask for their results.
+func (g *Gate) LinkLost(from Sink) {
 	g.mu.Lock()
 	var keys []link.Key
 	for k, ao := range g.active {
--- a/gate/parent_test.go
+++ b/gate/parent_test.go
@@ -16,7 +16,7 @@
 // blockingClient blocks each request until end is closed.
 type blockingClient struct{ end chan struct{} }
 
-func (w blockingClient) do(context.Context, *link.Content, port.OutgoingTerms, bool) (*answer, *failure) {
+func (w blockingClient) do(context.Context, *link.Content, port.OutgoingMetadata, bool) (*answer, *failure) {
 	<-w.end
 	return nil, &failure{outcome: NoEvidence}
 }
@@ -41,16 +41,16 @@
 	g.Report(port.Report{Incarnation: port.Incarnation{ID: "i-1"}, Service: "a", Slots: 4, Sequence: 1})
 	assert.Eventually(t, func() bool { return g.Status().Mode == link.ModeOpen }, 10*time.Second, time.Millisecond)
 	first, repeat := link.Key{Origin: 1, Number: 1}, link.Key{Origin: 1, Number: 2}
-	g.Handle(discardSink{}, &link.Frame{Offer: &link.Offer{Key: first, Attempt: "a1", Service: "a", Left: time.Second, Retryable: true, Content: &link.Content{}}})
-	g.Handle(discardSink{}, &link.Frame{Offer: &link.Offer{Key: repeat, Attempt: "b2", Service: "a", Left: 3 * time.Second, Aim: time.Second, Priority: 1, Retryable: true}})
+	g.Handle(discardSink{}, &link.Frame{Offer: &link.Offer{Key: first, Attempt: "a1", Service: "a", TimeLeft: time.Second, Retryable: true, Content: &link.Content{}}})
+	g.Handle(discardSink{}, &link.Frame{Offer: &link.Offer{Key: repeat, Attempt: "b2", Service: "a", TimeLeft: 3 * time.Second, Target: time.Second, Priority: 1, Retryable: true}})
 	_, ok := g.Parent("b2")
 	assert.False(t, ok, "it does not run yet")
-	g.Handle(discardSink{}, &link.Frame{Commit: &link.Commit{Key: repeat, Left: 2 * time.Second, Content: &link.Content{}, Repeat: true}})
+	g.Handle(discardSink{}, &link.Frame{Commit: &link.Commit{Key: repeat, TimeLeft: 2 * time.Second, Content: &link.Content{}, Repeat: true}})
 	p, ok := g.Parent("b2")
 	assert.True(t, ok)
 	assert.True(t, p.Repeat)
 	assert.Equal(t, 1, p.Priority)
-	assert.Positive(t, p.Deadline.Sub(p.Aim))
+	assert.Positive(t, p.Deadline.Sub(p.TargetDeadline))
 	p, ok = g.Parent("a1")
 	assert.True(t, ok)
 	assert.False(t, p.Repeat, "the first attempt is no repeat")
--- a/gate/reconcile.go
+++ b/gate/reconcile.go
@@ -21,16 +21,16 @@
 			out = append(out, Refuse{Key: e.Key, Reason: link.ReasonExpired})
 		case e.phase == queued && at.After(e.expires):
 			a.drop(e)
-			out = append(out, Refuse{Key: e.Key, Reason: link.ReasonBusy, After: a.wait(at, len(a.queue))})
+			out = append(out, Refuse{Key: e.Key, Reason: link.ReasonBusy, RetryAfter: a.wait(at, len(a.queue))})
 		case e.phase == running && a.trialAttemptHangs(at, e):
 			e.hung = true
 			a.bad(at, suspicionHang)
 		}
 	}
-	if !a.trial && a.switches.On(switches.Silence) && a.unresponsive(at) {
+	if !a.trial && a.switches.On(switches.HangDetection) && a.unresponsive(at) {
 		a.beginHangTrial(at)
 	}
-	if a.trial && a.switches.On(switches.Warnings) {
+	if a.trial && a.switches.On(switches.OverdueNotices) {
 		out = append(out, a.warn(at)...)
 	}
 	return out
--- a/gate/script_test.go
+++ b/gate/script_test.go
@@ -131,9 +131,9 @@
 		if service == "" {
 			service = scriptService
 		}
-		return Reported{At: now, Report: port.Report{Incarnation: port.Incarnation{ID: r.Upstream, Born: r.Born}, Service: service, Slots: r.Slots, Sequence: r.Sequence, Leaving: r.Leaving, ColdLeft: r.Cold}}
+		return Reported{At: now, Report: port.Report{Incarnation: port.Incarnation{ID: r.Upstream, StartedAt: r.Born}, Service: service, Slots: r.Slots, Sequence: r.Sequence, Leaving: r.Leaving, ColdLeft: r.Cold}}
 	case s.Confirm != nil:
-		return Confirmed{At: now, Upstream: port.Incarnation{ID: s.Confirm.Upstream, Born: s.Confirm.Born}, Leaving: s.Confirm.Leaving}
+		return Confirmed{At: now, Upstream: port.Incarnation{ID: s.Confirm.Upstream, StartedAt: s.Confirm.Born}, Leaving: s.Confirm.Leaving}
 	case s.Evacuate != nil:
 		return Evacuated{At: now, On: *s.Evacuate}
 	case s.Bound != nil:
@@ -154,12 +154,12 @@
 	if left == 0 {
 		left = 2 * time.Second
 	}
-	aimed := o.Aim
-	if aimed == 0 {
-		aimed = left
+	target := o.Aim
+	if target == 0 {
+		target = left
 	}
 	return Offered{At: now, Key: key(o.Key), Service: service, Upstream: o.Upstream, Priority: o.Priority,
-		Deadline: now.Add(left), Aim: now.Add(aimed), Retryable: o.Retryable, Ready: o.Ready, Force: o.Force, Kind: o.Kind}
+		Deadline: now.Add(left), TargetDeadline: now.Add(target), Retryable: o.Retryable, Ready: o.Ready, Force: o.Force, Kind: o.Kind}
 }
 
 func key(n uint64) link.Key { return link.Key{Origin: 1, Number: n} }
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -38,7 +38,7 @@
 // Forwarder forwards callers' requests to gates and returns the answers.
 type Forwarder struct {
 	service   string // Service of the upstream beside this node.
-	endpoints *Targets
+	endpoints *Endpoints
 	dialect   port.Dialect
 	log       *zap.Logger
 	counters  Counters
@@ -46,11 +46,11 @@
 	parents   func(attempt string) (overload.Parent, bool) // Finds an attempt that runs on the upstream beside this node.
 	failed    func(arrived time.Time)                      // Called for each failed request.
 	limits    Limits
-	tracker   *quarantine.Book // Tracks requests that crash upstreams.
+	tracker   *quarantine.SharedTracker // Tracks requests that crash upstreams.
 	table     atomic.Pointer[route.Table]
 	origin    uint64 // Identifies this process's offers; differs after a restart.
 	number    atomic.Uint64
-	latencies sync.Map // *core.Usual by route name.
+	latencies sync.Map // *core.LatencyPercentile by route name.
 	mu        sync.Mutex
 	requests  map[uint64]*inFlightRequest
 }
@@ -64,9 +64,9 @@
 	return func(to *Forwarder) { to.parents = f }
 }
 
-// WithCrowd sets the function that reports whether the upstream beside this node has no
+// WithSaturation sets the function that reports whether the upstream beside this node has no
 // free slot.
-func WithCrowd(f func() bool) Option {
+func WithSaturation(f func() bool) Option {
 	return func(to *Forwarder) { to.saturated = f }
 }
 
@@ -77,7 +77,7 @@
 }
 
 // NewForwarder returns a forwarder without a configuration.
-func NewForwarder(service string, endpoints *Targets, dialect port.Dialect, log *zap.Logger, counters Counters, options ...Option) *Forwarder {
+func NewForwarder(service string, endpoints *Endpoints, dialect port.Dialect, log *zap.Logger, counters Counters, options ...Option) *Forwarder {
 	f := &Forwarder{
 		service:   service,
 		endpoints: endpoints,
@@ -88,7 +88,7 @@
 		parents:   func(string) (overload.Parent, bool) { return overload.Parent{}, false },
 		failed:    func(time.Time) {},
 		limits:    noLimits{},
-		tracker:   quarantine.NewBook(func([]quarantine.Command) {}),
+		tracker:   quarantine.NewSharedTracker(func([]quarantine.Command) {}),
 		origin:    rand.Uint64(),
 		requests:  map[uint64]*inFlightRequest{},
 	}
@@ -151,7 +151,7 @@
 		return nil, refusal(result.New(result.NoRoute, path))
 	}
 	parent, isNested := f.parents(metadata.Parent)
-	account, refused := identify(table, matched, metadata.Key, isNested)
+	account, refused := identify(table, matched, metadata.AccountKey, isNested)
 	if refused != nil {
 		return nil, refused
 	}
@@ -159,12 +159,12 @@
 	strip(header)
 	header.Del("Content-Length")
 	if table.HasAccounts() {
-		f.dialect.Conceal(header)
+		f.dialect.StripPrivate(header)
 	}
-	deadline := r.Arrived.Add(callerTimeout(metadata.Patience, matched.Timeout))
-	requirements := overload.NewTerms(matched.Priority, r.Arrived, matched.Target, deadline).ForAccount(table.Priority(matched, account))
-	if isNested && f.endpoints.switches.On(switches.CallTerms) {
-		requirements = requirements.ForAccount(table.CallPriority(matched, parent.Priority)).ForCall(parent)
+	deadline := r.Arrived.Add(callerTimeout(metadata.Timeout, matched.Timeout))
+	requirements := overload.NewRequirements(matched.Priority, r.Arrived, matched.Target, deadline).ForAccount(table.Priority(matched, account))
+	if isNested && f.endpoints.switches.On(switches.NestedRequirements) {
+		requirements = requirements.ForAccount(table.NestedPriority(matched, parent.Priority)).ForNested(parent)
 	}
 	return &inFlightRequest{
 		forwarder:    f,
@@ -186,12 +186,12 @@
 
 // latencyOf returns a route's latency percentile, which is kept when the configuration
 // changes.
-func (f *Forwarder) latencyOf(r *route.Route) *core.Usual {
+func (f *Forwarder) latencyOf(r *route.Route) *core.LatencyPercentile {
 	if u, ok := f.latencies.Load(r.Name); ok {
-		return u.(*core.Usual)
+		return u.(*core.LatencyPercentile)
 	}
-	u, _ := f.latencies.LoadOrStore(r.Name, &core.Usual{})
-	return u.(*core.Usual)
+	u, _ := f.latencies.LoadOrStore(r.Name, &core.LatencyPercentile{})
+	return u.(*core.LatencyPercentile)
 }
 
 // callerTimeout returns the shorter of the caller's and the operator's timeout.
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -19,8 +19,8 @@
 	frame    *link.Frame
 	key      uint64
 	lost     bool
-	endpoint *Target // Endpoint whose link was lost or is back.
-	finish   bool    // The node shuts down: the request ends with what is known of its outcome.
+	endpoint *Endpoint // Endpoint whose link was lost or is back.
+	finish   bool      // The node shuts down: the request ends with what is known of its outcome.
 }
 
 // inFlightRequest is a request that has no final answer yet.
@@ -32,14 +32,14 @@
 	regions        route.Regions  // Where it may run.
 	attempt        string
 	content        *link.Content
-	latency        *core.Usual // Latency percentile of the route.
+	latency        *core.LatencyPercentile // Of the route.
 	arrived        time.Time
 	deadline       time.Time
-	requirements   overload.Terms
+	requirements   overload.Requirements
 	saturated      func() bool // Reports whether the upstream beside this node has no free slot.
 	events         chan event
 	offers         []*offer
-	tried          []*Target
+	tried          []*Endpoint
 	offersMade     int                // Offers made, in all rounds.
 	runs           int                // Attempts that may have run.
 	deliveries     int                // Attempts that may have reached an upstream: runs, and those refused as shed or misdirected.
@@ -109,7 +109,7 @@
 		retryable:   f.route.Retryable,
 		allowTrials: f.runs+1 < f.route.Attempts && !f.forwarder.endpoints.budgetExhausted(f.service, now),
 		priority:    f.requirements.Priority(),
-		nearOnly:    len(f.offers) > 0 && !f.busy() && now.Before(f.arrived.Add(f.farAfter())) && f.forwarder.endpoints.switches.On(switches.Near),
+		nearOnly:    len(f.offers) > 0 && !f.busy() && now.Before(f.arrived.Add(f.farAfter())) && f.forwarder.endpoints.switches.On(switches.PreferLocal),
 		tried:       f.tried,
 		regions:     f.regions,
 	}
@@ -136,12 +136,12 @@
 	case e.frame.Refused != nil:
 		f.lastRefusal = e.frame.Refused.Reason
 		f.noteBudget(now)
-		f.noteRetryAfter(e.frame.Refused.After)
+		f.noteRetryAfter(e.frame.Refused.RetryAfter)
 		o.endpoint.noteRefusal(e.frame.Refused, f.requirements.Priority(), now)
 		return f.refused(o, e.frame.Refused, now)
 	case e.frame.Answer != nil:
 		return f.answered(o, e.frame.Answer, now)
-	case e.frame.Silent != nil:
+	case e.frame.Overdue != nil:
 		f.upstreamUnresponsive(o, now)
 	case e.frame.Failed != nil:
 		return f.failed(o, e.frame.Failed, now)
@@ -175,7 +175,7 @@
 	f.noteRun(o, now)
 	f.withdrawOthers()
 	left := f.deadline.Sub(now)
-	if !o.endpoint.send(&link.Frame{Commit: &link.Commit{Key: o.key, Left: left, Content: f.content, Repeat: repeat}}) {
+	if !o.endpoint.send(&link.Frame{Commit: &link.Commit{Key: o.key, TimeLeft: left, Content: f.content, Repeat: repeat}}) {
 		f.end(f.linkBroken(o, now))
 	}
 }
--- a/ingress/inflight_test.go
+++ b/ingress/inflight_test.go
@@ -24,8 +24,8 @@
 	return true
 }
 
-// Ponged returns the zero time: no ping is replied to.
-func (s *sentFrames) Ponged() time.Time { return time.Time{} }
+// LastPong returns the zero time: no ping is replied to.
+func (s *sentFrames) LastPong() time.Time { return time.Time{} }
 
 type noCounts struct{}
 
@@ -34,29 +34,29 @@
 
 // newTestForwarder returns a forwarder without gates, of a node in the data centre "near".
 func newTestForwarder() *Forwarder {
-	return NewForwarder("caller", NewTargets("near", 0.7), platform.Headers{}, zap.NewNop(), noCounts{})
+	return NewForwarder("caller", NewEndpoints("near", 0.7), platform.Headers{}, zap.NewNop(), noCounts{})
 }
 
 // orderInFlight commits an order to the first of some gates. It returns the order, the
 // gates and their sinks.
-func orderInFlight(t *testing.T, now time.Time, gates int) (*inFlightRequest, []*Target, []*sentFrames) {
+func orderInFlight(t *testing.T, now time.Time, gates int) (*inFlightRequest, []*Endpoint, []*sentFrames) {
 	t.Helper()
 	f := newTestForwarder()
-	targets := f.endpoints
-	var all []*Target
+	endpoints := f.endpoints
+	var all []*Endpoint
 	var sinks []*sentFrames
 	for range gates {
-		n := NewTarget(link.Member{Service: "a", DataCentre: "near"})
+		n := NewEndpoint(link.Member{Service: "a", DataCentre: "near"})
 		n.SetStatus(link.Status{Mode: link.ModeOpen, Slots: 4}, time.Unix(1000, 0))
 		sink := &sentFrames{}
 		f.Connected(n, sink, 1)
-		targets.Add(n)
+		endpoints.Add(n)
 		all = append(all, n)
 		sinks = append(sinks, sink)
 	}
-	req := &inFlightRequest{forwarder: f, route: &route.Route{Target: time.Second, Attempts: 2}, service: "a", latency: &core.Usual{},
+	req := &inFlightRequest{forwarder: f, route: &route.Route{Target: time.Second, Attempts: 2}, service: "a", latency: &core.LatencyPercentile{},
 		content: &link.Content{}, arrived: now, deadline: now.Add(3 * time.Second), events: make(chan event, eventBuffer), saturated: func() bool { return true }}
-	req.requirements = overload.NewTerms(0, now, req.route.Target, req.deadline)
+	req.requirements = overload.NewRequirements(0, now, req.route.Target, req.deadline)
 	req.offerNext(now)
 	require.Len(t, req.offers, 1)
 	req.handle(event{frame: &link.Frame{Granted: &link.Granted{Key: req.offers[0].key}}, key: req.offers[0].key.Number}, now)
@@ -115,7 +115,7 @@
 type brokenSink struct{}
 
 func (brokenSink) Send(*link.Frame) bool { return false }
-func (brokenSink) Ponged() time.Time     { return time.Time{} }
+func (brokenSink) LastPong() time.Time   { return time.Time{} }
 
 // TestFailedSendEndsAtOnce checks that a retryable request without attempts left is
 // answered at once if the link breaks while the commit is sent.
@@ -140,9 +140,9 @@
 		now := time.Unix(1000, 0)
 		req, all, _ := orderInFlight(t, now, 1)
 		req.withdrawAll()
-		all[0].noteRefusal(&link.Refused{Reason: link.ReasonBusy, After: time.Hour}, 0, now.Add(time.Hour))
+		all[0].noteRefusal(&link.Refused{Reason: link.ReasonBusy, RetryAfter: time.Hour}, 0, now.Add(time.Hour))
 		req.route = &route.Route{Target: target, Attempts: 2}
-		req.requirements = overload.NewTerms(0, now, target, req.deadline)
+		req.requirements = overload.NewRequirements(0, now, target, req.deadline)
 		req.runs, req.deliveries, req.offersMade, req.gates, req.tried = 0, 0, 0, nil, nil
 		req.offerNext(now)
 		for at := req.nextWake(); ; at = req.nextWake() {
--- a/ingress/offer.go
+++ b/ingress/offer.go
@@ -27,7 +27,7 @@
 
 // offer is a request's offer to one gate.
 type offer struct {
-	endpoint  *Target
+	endpoint  *Endpoint
 	process   uint64 // Of the gate; a restarted gate has no record of the offer.
 	key       link.Key
 	state     offerState
@@ -72,13 +72,13 @@
 		Service:       f.service,
 		Upstream:      o.endpoint.Status().Upstream,
 		CallerService: f.forwarder.service,
-		Left:          f.deadline.Sub(now),
+		TimeLeft:      f.deadline.Sub(now),
 		Priority:      f.requirements.Priority(),
 		Retryable:     f.route.Retryable,
 		Force:         force,
-		Aim:           cmp.Or(f.requirements.Aim().Sub(now), -1),
+		Target:        cmp.Or(f.requirements.TargetDeadline().Sub(now), -1),
 		Kind:          f.route.Kind(),
-		Claim:         f.attemptKind(),
+		AttemptKind:   f.attemptKind(),
 		Account:       f.accountName(),
 		Record:        f.record,
 	}
@@ -94,7 +94,7 @@
 	}
 	o.started = now
 	f.budgetDenials = 0
-	o.hedgeAt = now.Add(time.Duration(hedgeFactor * float64(f.latency.Cut())))
+	o.hedgeAt = now.Add(time.Duration(hedgeFactor * float64(f.latency.Threshold())))
 }
 
 // undoRun records that an offer has not run after all. reached reports whether the request
--- a/ingress/outcome.go
+++ b/ingress/outcome.go
@@ -30,7 +30,7 @@
 // answered returns the answer, unless it is an error and the request may be repeated.
 func (f *inFlightRequest) answered(o *offer, a *link.Answer, now time.Time) *Response {
 	f.removeOffer(o)
-	o.endpoint.responseTime.note(a.Usual, now)
+	o.endpoint.responseTime.note(a.MeanResponseTime, now)
 	r := &Response{Status: a.Status, Header: a.Header, Body: a.Body}
 	if a.Status < http.StatusInternalServerError {
 		f.latency.Add(now.Sub(o.started))
@@ -66,7 +66,7 @@
 
 // retryAfter returns the retry-after of a refusal, in whole milliseconds.
 func (f *inFlightRequest) retryAfter() time.Duration {
-	return f.requirements.ComeBack(f.minRetryAfter, f.forwarder.endpoints.draw()).Round(time.Millisecond)
+	return f.requirements.RetryAfter(f.minRetryAfter, f.forwarder.endpoints.draw()).Round(time.Millisecond)
 }
 
 // noteRetryAfter records when a gate that refused the request may be asked again.
--- a/ingress/replaygate_test.go
+++ b/ingress/replaygate_test.go
@@ -36,7 +36,7 @@
 
 func (p *replay) newGate(service string, s serviceLoad, i int, set switches.Set) *replayGate {
 	b := budget.New(replayRatio, float64(replaySlack*s.Gates), time.Time{})
-	b.NoteGates(s.Gates)
+	b.ObserveGates(s.Gates)
 	g := &replayGate{replay: p, service: service, centre: p.scenario.centres()[i%p.scenario.Centres], slots: s.Slots, index: i, runs: map[link.Key]*replayRun{}}
 	g.admission = gate.NewAdmission(service, b)
 	g.admission.SetSwitches(set)
@@ -55,10 +55,10 @@
 
 // addEndpoint adds a gate to the node's endpoints.
 func (n *replayNode) addEndpoint(g *replayGate) {
-	target := NewTarget(link.Member{Name: g.name(), Service: g.service, DataCentre: g.centre})
-	target.SetStatus(g.admission.Status(), n.replay.now)
-	n.forwarder.endpoints.Add(target)
-	n.forwarder.Connected(target, replaySink{node: n, gate: g}, 1)
+	endpoint := NewEndpoint(link.Member{Name: g.name(), Service: g.service, DataCentre: g.centre})
+	endpoint.SetStatus(g.admission.Status(), n.replay.now)
+	n.forwarder.endpoints.Add(endpoint)
+	n.forwarder.Connected(endpoint, replaySink{node: n, gate: g}, 1)
 }
 
 // replaySink sends a node's messages to a gate.
@@ -72,8 +72,8 @@
 	return true
 }
 
-// Ponged returns the current time: every node of a replay responds.
-func (w replaySink) Ponged() time.Time { return w.node.replay.now }
+// LastPong returns the current time: every node of a replay responds.
+func (w replaySink) LastPong() time.Time { return w.node.replay.now }
 
 func (w replaySink) delay() time.Duration {
 	if w.node.centre == w.gate.centre {
@@ -89,9 +89,9 @@
 	case f.Offer != nil:
 		o := f.Offer
 		g.runs[o.Key] = &replayRun{node: from, offer: o}
-		deadline := now.Add(o.Left)
-		g.update(gate.Offered{At: now, Key: o.Key, Service: o.Service, Upstream: o.Upstream, Deadline: deadline, Aim: g.admission.AimOf(now, deadline, o.Aim),
-			Priority: o.Priority, Retryable: o.Retryable, Force: o.Force, Ready: o.Content != nil, Kind: o.Kind, Claim: o.Claim})
+		deadline := now.Add(o.TimeLeft)
+		g.update(gate.Offered{At: now, Key: o.Key, Service: o.Service, Upstream: o.Upstream, Deadline: deadline, TargetDeadline: g.admission.TargetDeadline(now, deadline, o.Target),
+			Priority: o.Priority, Retryable: o.Retryable, Force: o.Force, Ready: o.Content != nil, Kind: o.Kind, AttemptKind: o.AttemptKind})
 	case f.Commit != nil:
 		g.update(gate.Committed{At: now, Key: f.Commit.Key})
 	case f.Withdraw != nil:
@@ -108,9 +108,9 @@
 		case gate.Queue:
 			g.send(c.Key, &link.Frame{Queued: &link.Queued{Key: c.Key}})
 		case gate.Refuse:
-			g.send(c.Key, &link.Frame{Refused: &link.Refused{Key: c.Key, Reason: c.Reason, After: c.After}})
+			g.send(c.Key, &link.Frame{Refused: &link.Refused{Key: c.Key, Reason: c.Reason, RetryAfter: c.RetryAfter}})
 		case gate.Warn:
-			g.send(c.Key, &link.Frame{Silent: &link.Silent{Key: c.Key}})
+			g.send(c.Key, &link.Frame{Overdue: &link.Overdue{Key: c.Key}})
 		case gate.Start:
 			g.start(c.Key)
 		case gate.Abort:
@@ -125,9 +125,9 @@
 func (g *replayGate) announce() {
 	s := g.admission.Status()
 	for _, n := range g.replay.nodes {
-		for _, t := range n.forwarder.endpoints.Of(g.service) {
-			if t.Member().Name == g.name() {
-				t.SetStatus(s, g.replay.now)
+		for _, e := range n.forwarder.endpoints.Of(g.service) {
+			if e.Member().Name == g.name() {
+				e.SetStatus(s, g.replay.now)
 			}
 		}
 	}
@@ -172,7 +172,7 @@
 		return
 	}
 	name := r.offer.Attempt
-	p.parents[name] = overload.Parent{Priority: r.offer.Priority, Aim: began.Add(r.offer.Aim), Deadline: began.Add(r.offer.Left)}
+	p.parents[name] = overload.Parent{Priority: r.offer.Priority, TargetDeadline: began.Add(r.offer.Target), Deadline: began.Add(r.offer.TimeLeft)}
 	node := p.nodes[slices.Index(p.scenario.centres(), g.centre)]
 	left := kind.CallTimes
 	for range kind.CallTimes {
@@ -181,7 +181,7 @@
 			left--
 			switch {
 			case !ok:
-				g.finish(k, gate.CallFailed, p.now.Sub(began))
+				g.finish(k, gate.NestedFailed, p.now.Sub(began))
 			case left == 0:
 				g.finish(k, gate.Good, p.now.Sub(began))
 			}
@@ -201,9 +201,9 @@
 	r.over = true
 	switch o {
 	case gate.Good:
-		g.send(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusOK, Usual: g.admission.Status().Usual}})
-	case gate.CallFailed:
-		g.send(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusInternalServerError, Usual: g.admission.Status().Usual}})
+		g.send(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusOK, MeanResponseTime: g.admission.Status().MeanResponseTime}})
+	case gate.NestedFailed:
+		g.send(k, &link.Frame{Answer: &link.Answer{Key: k, Status: http.StatusInternalServerError, MeanResponseTime: g.admission.Status().MeanResponseTime}})
 	case gate.Shed:
 		g.send(k, &link.Frame{Refused: &link.Refused{Key: k, Reason: link.ReasonShed}})
 	default:
--- a/mesh/limitpeers.go
+++ b/mesh/limitpeers.go
@@ -43,62 +43,62 @@
 func (l *limits) homeLinked(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.homes.Trust(address)
+	l.homes.ClearSuspicion(address)
 }
 
-// sendClaims notifies the nodes that may have acted as home in this node's place that this
+// sendHomeNotices notifies the nodes that may have acted as home in this node's place that this
 // node is the account's home. A node without a link is dialed, and learns of this node from
 // its hello.
-func (l *limits) sendClaims(account string, now time.Time) {
+func (l *limits) sendHomeNotices(account string, now time.Time) {
 	for _, successor := range l.homes.Successors(account, now) {
 		if to := l.node.links.linkTo(successor); to != nil {
-			to.Send(&link.Frame{LimitClaim: &link.LimitClaim{Record: l.node.links.self()}})
+			to.Send(&link.Frame{HomeNotice: &link.HomeNotice{Record: l.node.links.self()}})
 			continue
 		}
 		fleetView{l.node.links}.Dial(successor)
 	}
 }
 
-// handleClaim processes another node's claim that it is the home of an account.
-func (l *limits) handleClaim(m *link.LimitClaim) {
+// handleHomeNotice processes another node's claim that it is the home of an account.
+func (l *limits) handleHomeNotice(m *link.HomeNotice) {
 	l.node.links.learn(m.Record)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.homes.Claimed(m.Record.Address, time.Now())
 }
 
-// handleAnswer processes a home's answer to a request.
-func (l *limits) handleAnswer(m *link.LimitAnswer) {
+// handleReply processes a home's answer to a request.
+func (l *limits) handleReply(m *link.LimitReply) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.applyAnswer(m, now)
 }
 
-// handleAsk answers another node's request. If this node is not the account's home but
+// handleRequest answers another node's request. If this node is not the account's home but
 // reaches the home, which the asking node does not, it forwards the request there:
 // otherwise the account would have two homes, and twice its limit.
-func (l *limits) handleAsk(from *link.Link, m *link.LimitAsk) {
+func (l *limits) handleRequest(from *link.Link, m *link.LimitRequest) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.noteFleetChanges(now)
 	limit, ok := l.limit(m.Account)
-	place := l.homes.Of(m.Account, now)
-	if !ok || place.Home != l.node.self.Address && m.Hops >= maxHops {
-		from.Send(&link.Frame{LimitAnswer: &link.LimitAnswer{Number: m.Number, Unknown: true}})
+	location := l.homes.Of(m.Account, now)
+	if !ok || location.Home != l.node.self.Address && m.Hops >= maxHops {
+		from.Send(&link.Frame{LimitReply: &link.LimitReply{Number: m.Number, Unknown: true}})
 		return
 	}
-	if place.Home != l.node.self.Address {
+	if location.Home != l.node.self.Address {
 		l.charge([]link.LimitReport{{Account: m.Account, Count: m.Spent}})
 		go l.relay(from, m)
 		return
 	}
-	l.execute(l.home.Update(quota.Asked{At: now, From: l.dialers[from], Number: m.Number, Account: m.Account, Limit: limit, Spent: m.Spent, Acting: place.Acting}), now)
+	l.execute(l.home.Update(quota.TokenRequested{At: now, From: l.dialers[from], Number: m.Number, Account: m.Account, Limit: limit, Spent: m.Spent, Acting: location.Acting}), now)
 }
 
 // relay asks an account's home on behalf of another node.
-func (l *limits) relay(from *link.Link, m *link.LimitAsk) {
+func (l *limits) relay(from *link.Link, m *link.LimitRequest) {
 	t := l.node.forwarder.Table()
 	account, ok := t.Account(m.Account)
 	if !ok {
@@ -106,7 +106,7 @@
 	}
 	l.node.metrics.Count("limit_relayed")
 	a := l.take(context.Background(), account, m.Hops+1)
-	from.Send(&link.Frame{LimitAnswer: &link.LimitAnswer{Number: m.Number, Granted: a.Granted, Unknown: a.Unconfirmed, After: a.After}})
+	from.Send(&link.Frame{LimitReply: &link.LimitReply{Number: m.Number, Granted: a.Granted, Unknown: a.Unconfirmed, RetryAfter: a.After}})
 }
 
 // handleReports charges tokens that other nodes have spent.
@@ -125,10 +125,10 @@
 		if !ok || r.Count == 0 {
 			continue
 		}
-		if place := l.homes.Of(r.Account, now); place.Home == l.node.self.Address {
-			l.execute(l.home.Update(quota.Reported{At: now, Account: r.Account, Limit: limit, Count: r.Count, Acting: place.Acting}), now)
+		if location := l.homes.Of(r.Account, now); location.Home == l.node.self.Address {
+			l.execute(l.home.Update(quota.Reported{At: now, Account: r.Account, Limit: limit, Count: r.Count, Acting: location.Acting}), now)
 			continue
 		}
-		l.execute(l.limiter.Update(quota.Passed{At: now, Account: r.Account, Limit: limit, Count: r.Count}), now)
+		l.execute(l.limiter.Update(quota.Misdirected{At: now, Account: r.Account, Limit: limit, Count: r.Count}), now)
 	}
 }
--- a/mesh/local.go
+++ b/mesh/local.go
@@ -10,7 +10,7 @@
 // addLocal adds the own gate as an endpoint without a link.
 func (l *links) addLocal() {
 	n := l.node
-	l.localEndpoint = ingress.NewTarget(n.self)
+	l.localEndpoint = ingress.NewEndpoint(n.self)
 	n.forwarder.Connected(l.localEndpoint, localSink{n}, n.process)
 	n.endpoints.Add(l.localEndpoint)
 }
@@ -24,8 +24,8 @@
 	return true
 }
 
-// Ponged returns the current time: the own gate lives as long as this node.
-func (localSink) Ponged() time.Time { return time.Now() }
+// LastPong returns the current time: the own gate lives as long as this node.
+func (localSink) LastPong() time.Time { return time.Now() }
 
 // localReturn passes the gate's messages back to the ingress.
 type localReturn struct{ node *Node }
