--- a/budget/budget.go
+++ b/budget/budget.go
@@ -28,8 +28,9 @@
 	ratioShare = 0.85
 	slackShare = 0.65
 	// startupShare is the part of its slack that a process may use until it has run for a
-	// window: it may have used the rest before a restart. So the limit also holds if the whole
-	// fleet restarts at once.
+	// window. The process before it may have used all of its slack within the same window, and
+	// slackShare × (1 + startupShare) stays below 1. So the limit also holds if the whole fleet
+	// restarts at once.
 	startupShare = 0.5
 	// hedgeReserve is the part of the budget that hedges may not use. It is reserved for failed
 	// attempts, which need a repeat more than slow ones.
@@ -64,7 +65,7 @@
 	ratio       float64   // The part of the fleet's ratio that is used.
 	slack       float64   // The part of the fleet's slack that is used by all gates together.
 	gates       int       // The largest number of gates seen, which gives the smallest parts.
-	rounding    float64   // The gate's rank among all nodes, in [0, 1).
+	rounding    float64   // The gate's rank, in [0, 1). Added before the budget is cut to whole repeats.
 	startupEnds time.Time // When the process will have run for a window.
 	firsts      windowCounter
 	repeats     windowCounter
@@ -85,7 +86,8 @@
 	b.slack = slack * slackShare
 }
 
-// ObserveGates records how many gates the service has now.
+// ObserveGates records how many gates the service has now. The largest number seen counts until the
+// process ends, so that a gate that sees fewer for a while takes no larger part of the slack.
 func (b *Budget) ObserveGates(gates int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,7 +137,8 @@
 	b.repeats.remove(taken)
 }
 
-// CanTake reports whether the budget allows a repeat, without counting one.
+// CanTake reports whether the budget allows a repeat, without counting one. A gate asks it when an
+// offer arrives, and calls TryTake when the offer gets its slot.
 func (b *Budget) CanTake(now time.Time, k AttemptKind) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/budget/windowcounter.go
+++ b/budget/windowcounter.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// A node counts in buckets of a second over the configured window of ten seconds.
+	// Events are counted in buckets of one second, over a window of ten seconds.
 	bucket  = time.Second
 	buckets = 10
 	window  = buckets * bucket
--- a/gate/admission.go
+++ b/gate/admission.go
@@ -295,8 +295,8 @@
 	}
 }
 
-// committed starts a granted offer. If the grant has lapsed, the request has not run and is
-// refused as never seen.
+// committed starts a granted offer. Any other commit is refused as never seen: one whose grant has
+// lapsed, so that the request has not run, and also one for an entry that is queued or running.
 func (a *Admission) committed(m Committed) []Command {
 	e := a.entries[m.Key]
 	if e == nil || e.phase != granted {
--- a/gate/doc.go
+++ b/gate/doc.go
@@ -9,6 +9,11 @@
 // The gate detects a failing upstream by the outcomes of its attempts (health) and by attempts
 // that run far longer than requests of their kind usually take (hangDetector).
 //
+// A gate is on trial after its upstream has failed or stopped answering: it takes a limited number
+// of attempts at a time, non-retryable ones only if forced, until there are enough good answers in
+// a row, or no outcomes for a while. An incarnation is one run of the upstream's process, from
+// start to exit.
+//
 // An offer goes through these states:
 //
 //	offered -> queued -> granted -> committed (running) -> ended
@@ -18,5 +23,5 @@
 //
 //	g := gate.New(gate.Upstream{Address: "10.0.0.1:8145", Service: "births"}, platform.Headers{}, log)
 //	g.Report(report)           // A heartbeat of the upstream.
-//	g.Handle(link, frame)      // An offer, a commit, a withdrawal or a status query.
+//	g.Handle(link, frame)      // An offer, a commit, a withdrawal or an outcome query.
 package gate
--- a/gate/execute.go
+++ b/gate/execute.go
@@ -61,7 +61,7 @@
 	case Start:
 		g.start(c.Key)
 	case Warn:
-		g.count("gate_silent")
+		g.count("gate_silent") // Counts Overdue frames.
 		g.answer(c.Key, &link.Frame{Overdue: &link.Overdue{Key: c.Key}})
 	case Abort:
 		if ao := g.active[c.Key]; ao != nil && ao.cancel != nil {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -162,7 +162,8 @@
 	return g.admission.Saturated()
 }
 
-// ActiveOffers returns how many offers are queued, granted or running.
+// ActiveOffers returns how many offers are queued, granted or running. A stopping node waits until
+// there are none.
 func (g *Gate) ActiveOffers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gate/hangdetector.go
+++ b/gate/hangdetector.go
@@ -11,7 +11,8 @@
 	hangShare = 0.75
 	// minTail bounds from below the probability that a healthy upstream has not answered yet:
 	// some requests take very long or wait for a nested request. It limits the evidence of one
-	// attempt, so that a trial takes at least three.
+	// attempt to a little over half of trialEvidence, so that a trial for lack of answers begins
+	// after two attempts without one at the earliest.
 	minTail = 0.02
 	// unknownKindTail is that probability past the target deadline for a kind of request
 	// without answer times: operators set targets that nearly all answers meet.
@@ -30,7 +31,7 @@
 	// maxSamples bounds the attempts that are considered together: several times the slots of
 	// an upstream.
 	maxSamples = 48
-	// maxKinds bounds the kinds of request whose answer times are tracked.
+	// maxKinds bounds the kinds of request whose answer times are tracked. Kind 0 may come on top.
 	maxKinds = 256
 )
 
@@ -139,7 +140,9 @@
 	}
 }
 
-// answerTimesOf returns the answer times of a kind of request. Kinds beyond maxKinds share one.
+// answerTimesOf returns the answer times of a kind of request, to add one. Once there are maxKinds
+// kinds, it returns those of kind 0 for a new kind; reads of the new kind still find none, and
+// treat it as a kind without answer times.
 func (d *hangDetector) answerTimesOf(kind uint32) *answerTimes {
 	if d.kinds == nil {
 		d.kinds = map[uint32]*answerTimes{}
--- a/gate/message.go
+++ b/gate/message.go
@@ -21,7 +21,7 @@
 	TargetDeadline time.Time // At most Deadline.
 	Priority       int
 	Retryable      bool
-	Force          bool
+	Force          bool   // Too few gates are open: on trial, it may run while fewer than maxForced slots are taken.
 	Ready          bool   // It came with its content and may start at once.
 	Kind           uint32 // Requests of one kind take about the same time.
 	AttemptKind    budget.AttemptKind
@@ -51,7 +51,7 @@
 	Shed                        // Refused by the upstream without running.
 	Replaced                    // Another incarnation has the address.
 	NoEvidence                  // Canceled by the gate or past the deadline.
-	NestedFailed                // A server error that follows from a failed nested request.
+	NestedFailed                // A server error that follows from a failed nested request. Logged as call-failed.
 )
 
 var outcomeNames = [...]string{"good", "erred", "broken", "unreached", "shed", "replaced", "no-evidence", "call-failed"}
@@ -133,7 +133,8 @@
 	RetryAfter time.Duration
 }
 
-// Warn reports that a running retryable attempt is not answered.
+// Warn sends an Overdue frame to the ingress: its running retryable attempt on trial is not
+// answered.
 type Warn struct{ Key link.Key }
 
 // Abort cancels a running attempt.
--- a/gate/reconcile.go
+++ b/gate/reconcile.go
@@ -43,7 +43,8 @@
 	})
 }
 
-// warn returns a Warn command for each attempt on trial that is not answered, once per attempt.
+// warn returns a Warn command for each retryable attempt that is not answered, once per attempt.
+// It is called on trial only. The ingress gets the warning as an Overdue frame.
 func (a *Admission) warn(at time.Time) []Command {
 	var out []Command
 	for _, e := range a.inOrder() {
--- a/ingress/choose.go
+++ b/ingress/choose.go
@@ -52,7 +52,7 @@
 type candidates struct {
 	open          []*Endpoint
 	trial         []*Endpoint
-	suspected     []*Endpoint // Recently unresponsive.
+	suspected     []*Endpoint // Did not respond to a recent offer or ping; see suspect.
 	unresponsive  []*Endpoint // Did not reply to a ping in time.
 	anyResponsive bool        // Some gate of the service is responsive.
 	belowFloor    bool        // Too few of the service's gates are open.
@@ -127,9 +127,9 @@
 // oneOf returns a random endpoint.
 func (e *Endpoints) oneOf(list []*Endpoint) *Endpoint { return list[int(e.draw()*float64(len(list)))] }
 
-// minOpen returns how many of a service's live gates must be open; if fewer are, suspicion
-// is ignored. A gate on trial still gets a few retryable requests, so the bound is half
-// the floor.
+// minOpen returns how many of a service's live gates must be open. If fewer are, a request
+// with no open gate to ask is forced on the gate on trial with the least Suspicion. A gate
+// on trial still gets a few retryable requests, so the bound is half the floor.
 func (e *Endpoints) minOpen(live int) float64 { return *e.floorShare.Load() * float64(live) / 2 }
 
 func leastSuspect(list []*Endpoint) *Endpoint {
--- a/ingress/connection.go
+++ b/ingress/connection.go
@@ -206,6 +206,8 @@
 			continue
 		}
 		encode(out, r, p.method, last)
+		// While later requests are queued, answers stay in the buffer as far as they fit. They go
+		// out once an answer has no request queued behind it, however long that takes.
 		if len(c.answers) == 0 && out.Flush() != nil {
 			failed = true
 			_ = c.Conn.Close() // The caller does not read, so no further answer can reach it.
--- a/ingress/doc.go
+++ b/ingress/doc.go
@@ -3,9 +3,12 @@
 // gate, and repeats or hedges requests that may run more than once, within the fleet's
 // repeat budget.
 //
-// A request without a commit has not run. If the link to the gate of a committed request
-// breaks, the outcome is queried when the link is back; it stays unknown if the link does
-// not come back in time or the gate's process has been replaced.
+// A non-retryable request runs only after a commit. The first offer of a retryable one
+// carries its content and may start without a commit. If the link to a gate breaks, a
+// retryable request that may be running there is offered to another gate at once, if it may
+// run again and has no other offer. The outcome of a committed non-retryable one is queried
+// when the link is back; it stays unknown if the link does not come back in time or the
+// gate's process has been replaced.
 //
 // # Usage
 //
--- a/ingress/endpoint.go
+++ b/ingress/endpoint.go
@@ -112,7 +112,7 @@
 }
 
 // NewEndpoints returns an empty set of endpoints for a node in a data centre. floorShare is
-// the share of a service's gates that must stay in use despite suspicion.
+// the share of a service's gates that must stay in use, even on trial; see minOpen.
 func NewEndpoints(dataCentre string, floorShare float64) *Endpoints {
 	e := &Endpoints{dataCentre: dataCentre, draw: rand.Float64}
 	e.SetEvacuated(nil)
@@ -146,8 +146,7 @@
 	return !regions.Restricted() || regions.Allow(e.regions[dataCentre])
 }
 
-// SetFloorShare sets the share of a service's gates that must stay in use despite
-// suspicion.
+// SetFloorShare sets the share of a service's gates that must stay in use, even on trial.
 func (e *Endpoints) SetFloorShare(share float64) { e.floorShare.Store(&share) }
 
 // Add adds an endpoint.
--- a/ingress/explain.go
+++ b/ingress/explain.go
@@ -78,9 +78,11 @@
 		fields = append(fields, zap.Stringer("refused", f.lastRefusal))
 	}
 	if f.unknownReason != "" {
+		// "doubt" is why the outcome of an attempt is unknown.
 		fields = append(fields, zap.String("doubt", f.unknownReason))
 	}
 	if f.unknownReason != "" || f.quarantineLeft > 0 {
+		// "request" is the fingerprint, by which a request may be quarantined.
 		fields = append(fields, zap.Stringer("request", f.fingerprint()))
 	}
 	return fields
--- a/ingress/linkloss.go
+++ b/ingress/linkloss.go
@@ -7,7 +7,8 @@
 	"eiderfold/link"
 )
 
-// reconnectTimeout is how long a committed request waits for a broken link to come back.
+// reconnectTimeout is how long a committed non-retryable request waits for a broken link to come
+// back.
 const reconnectTimeout = 3 * time.Second
 
 // linkBroken handles the loss of the link to an offer's gate.
--- a/ingress/outcome.go
+++ b/ingress/outcome.go
@@ -69,7 +69,8 @@
 	return f.requirements.RetryAfter(f.minRetryAfter, f.forwarder.endpoints.draw()).Round(time.Millisecond)
 }
 
-// noteRetryAfter records when a gate that refused the request may be asked again.
+// noteRetryAfter keeps the shortest retry-after of the gates that refused the request, for the
+// refusal that its caller may get.
 func (f *inFlightRequest) noteRetryAfter(after time.Duration) {
 	if after > 0 && (f.minRetryAfter == 0 || after < f.minRetryAfter) {
 		f.minRetryAfter = after
--- a/ingress/server.go
+++ b/ingress/server.go
@@ -16,7 +16,8 @@
 // exhausted.
 const acceptPause = 20 * time.Millisecond
 
-// Serve answers one request; a nil response closes the connection without an answer.
+// Serve answers one request. A nil response means that the caller has left: no further answer is
+// written to the connection.
 type Serve func(ctx context.Context, r *Request) *Response
 
 // Server is an HTTP/1.1 server for callers. It runs the pipelined requests of a connection
--- a/ingress/unresponsive.go
+++ b/ingress/unresponsive.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// suspicionTime is how long a gate is avoided that did not respond to an offer in
-	// time.
-	suspicionTime = 1 * time.Second
+	// avoidTime is how long a gate is avoided that did not respond to an offer in time.
+	avoidTime = 1 * time.Second
 	// pingTimeout is how long a suspected gate may take to reply to a ping, the same as
 	// for an offer.
 	pingTimeout = offerTimeout
 )
 
 // suspect marks a gate that did not respond to an offer in time and pings it. Without the
-// ping, only further requests would find out whether the gate has recovered.
+// ping, only further requests would find out whether the gate has recovered. This is not
+// the Suspicion in the gate's status, which is about its upstream.
 func (e *Endpoint) suspect(now time.Time) {
-	e.suspectedUntil.Store(now.Add(suspicionTime).UnixNano())
+	e.suspectedUntil.Store(now.Add(avoidTime).UnixNano())
 	l := e.link.Load()
 	if l == nil || !l.unansweredPing().IsZero() {
 		return
--- a/overload/doc.go
+++ b/overload/doc.go
@@ -7,9 +7,9 @@
 //
 //   - A service is saturated and calls itself or others. A request that an upstream makes
 //     while it works on another one is a nested request. If it is refused, the work on its
-//     parent is lost. So it gets its parent's priority and target deadline, and is kept until
-//     then unless other requests wait for the parent's slot (Requirements.ForNested,
-//     Requirements.KeepUntil).
+//     parent is lost. So it gets the higher priority and the later target deadline of the two,
+//     and is kept until then while the parent's upstream has a free slot
+//     (Requirements.ForNested, Requirements.KeepUntil).
 //   - A service has less capacity than is requested. A request that no gate takes is refused
 //     soon rather than at its deadline. Only nested requests, and requests that have already
 //     run, are kept for longer (Requirements.KeepUntil).
--- a/overload/queuekey.go
+++ b/overload/queuekey.go
@@ -31,8 +31,9 @@
 // Late reports whether the request can no longer meet its target deadline.
 func (k *QueueKey) Late() bool { return k.late }
 
-// Limit returns the latest time for an answer that makes waiting worthwhile: the target
-// deadline or, if that cannot be met, the deadline.
+// Limit returns the time by which an answer must be expected for the request to be queued: the
+// target deadline or, if that cannot be met, the deadline. A gate refuses an offer whose answer it
+// expects later.
 func (k *QueueKey) Limit() time.Time {
 	if k.late {
 		return k.deadline
--- a/overload/requirements.go
+++ b/overload/requirements.go
@@ -6,10 +6,12 @@
 	// keepShare is the part of the time until its target deadline for which a request that no
 	// gate takes is kept: after a refusal, its caller may find another node that can serve it.
 	keepShare = 0.2
-	// minKeepTime is the shortest time a request is kept: a few round trips.
+	// minKeepTime is the shortest time such a request is kept, even past its target deadline: a
+	// few round trips. It does not apply while a nested request is kept until its target
+	// deadline.
 	minKeepTime = 40 * time.Millisecond
-	// keepShareAfterRun is the same for a request that has run and failed: its caller cannot be
-	// told that it did not run.
+	// keepShareAfterRun replaces keepShare for a request that has run, or may have: its caller
+	// can no longer be told that it has not run and may be sent to another node.
 	keepShareAfterRun = 1.0
 )
 
@@ -82,7 +84,7 @@
 // KeepUntil returns until when the request is kept while no gate takes it. The parameter ran
 // tells whether it has run, and saturated whether the upstream that makes a nested request has no
 // free slot. Refusing a nested request wastes the work on its parent, so it is kept until its
-// target deadline while that blocks no other requests.
+// target deadline while the upstream has a free slot, since it then blocks no other requests.
 func (r Requirements) KeepUntil(ran, saturated bool) time.Time {
 	if r.nested && !saturated {
 		return r.target
--- a/overload/retryafter.go
+++ b/overload/retryafter.go
@@ -16,8 +16,9 @@
 
 // RetryAfter returns the retry-after of a refused caller. The parameter wait is the shortest wait
 // that a refusing gate estimated, 0 if none did. The parameter spread is a random number evenly
-// distributed over [0, 1): it spreads callers that were refused together over up to twice the
-// retry-after.
+// distributed over [0, 1): it spreads callers that were refused together between the shortest
+// retry-after and twice that. The result is cut to maxRetryAfter; if the shortest one reaches it,
+// all callers get the same.
 func (r Requirements) RetryAfter(wait time.Duration, spread float64) time.Duration {
 	shortest := max(wait, minRetryAfter) + time.Duration(r.retryRank)*retryAfterStep
 	return min(shortest+time.Duration(spread*float64(shortest)), maxRetryAfter)
--- a/route/account.go
+++ b/route/account.go
@@ -10,7 +10,7 @@
 type Account struct {
 	Name     string
 	Keys     []string // Each authenticates a caller as this account.
-	Priority int      // 0 is the most urgent; takes precedence over the route's.
+	Priority int      // 0 is the most urgent; compared before the route's.
 	Rate     float64  // Requests per second over all nodes; 0 for no limit.
 	Burst    float64  // Requests above the rate that may arrive at once.
 	Regions  []string // Regions in which its requests may run; all if empty.
@@ -78,13 +78,15 @@
 	}
 	d := digestOf(key)
 	if a.byKey[d] != nil {
+		// The key is already one of the named account, which may be this one.
 		return "stands twice, here or at account " + a.byKey[d].Name
 	}
 	a.byKey[d] = account
 	return ""
 }
 
-// HasAccounts reports whether callers must identify themselves by a key.
+// HasAccounts reports whether there are client accounts. If so, callers need a key, except on open
+// routes and for nested requests.
 func (t *Table) HasAccounts() bool { return len(t.accounts.byName) > 0 }
 
 // AccountOf returns the account that a key belongs to.
--- a/route/route.go
+++ b/route/route.go
@@ -90,8 +90,8 @@
 	notes    []string
 }
 
-// New validates a document and builds its table. The error lists every fault with its
-// field.
+// New validates a document and builds its table. The error lists the faults of accounts,
+// services, limits and routes; of each route it lists only the first.
 func New(d Document) (*Table, error) {
 	t := &Table{version: d.Version, limits: d.Limits, services: map[string]Service{}, hosts: map[string][]*Route{}, notes: d.Notes}
 	var faults []string
@@ -133,7 +133,7 @@
 	return h.Sum32()
 }
 
-// fault returns the fault of a route, "" if there is none.
+// fault returns the first fault of a route, "" if there is none.
 func (t *Table) fault(r Route) string {
 	switch {
 	case r.Host == "":
@@ -178,8 +178,9 @@
 	return s, ok
 }
 
-// Priority returns the priority of a request. The account's priority takes precedence over
-// the route's.
+// Priority returns the priority of a request: by the account's priority first, and by the
+// route's among requests of the same account priority. A request without an account (on an
+// open route, a nested one, or without any accounts) ranks as one of account priority 0.
 func (t *Table) Priority(r *Route, a *Account) int {
 	if a == nil {
 		return r.Priority
--- a/switches/switches.go
+++ b/switches/switches.go
@@ -1,6 +1,6 @@
-// Package switches defines the mechanisms that decide where requests go. Each can be
-// switched off to measure its effect. All are on by default; a fleet in production does
-// not need to switch any off.
+// Package switches names the mechanisms that decide where, when and how often requests run.
+// Each can be switched off to measure its effect. All are on by default; a fleet in
+// production does not need to switch any off.
 //
 // # Usage
 //
@@ -15,7 +15,8 @@
 	"github.com/pkg/errors"
 )
 
-// Mechanism is the name of a mechanism as it appears in the settings.
+// Mechanism is the name of a mechanism as it appears in the settings. The name may differ from
+// that of its constant.
 type Mechanism string
 
 // Mechanisms. Each comment says what happens if the mechanism is off.
@@ -23,10 +24,10 @@
 	HangDetection      Mechanism = "silence"    // Unanswered attempts do not put a gate on trial.
 	HoldUnresponsive   Mechanism = "hold"       // Non-retryable requests also go to upstreams that may be unresponsive.
 	OverdueNotices     Mechanism = "warnings"   // Gates on trial do not report overdue attempts to the ingress.
-	NestedRequests     Mechanism = "own-calls"  // Errors count against an upstream even if its nested requests failed.
+	NestedRequests     Mechanism = "own-calls"  // An error answer counts against an upstream even if it follows from a failed nested request.
 	KindTimes          Mechanism = "kind-times" // Queues estimate response times by the mean over all kinds of requests.
 	Trials             Mechanism = "trials"     // Bad outcomes do not put a gate on trial.
-	Forced             Mechanism = "forced"     // Gates on trial accept no non-retryable requests, however few gates are open.
+	Forced             Mechanism = "forced"     // No offers are forced on gates on trial, however few gates are open: these accept no non-retryable requests.
 	Hedges             Mechanism = "hedges"     // Late attempts are not hedged.
 	PreferLocal        Mechanism = "near"       // Gates in the local data centre are not preferred.
 	SlowLast           Mechanism = "slow-last"  // Slow gates are selected like any other.
