--- a/admin/publish.go
+++ b/admin/publish.go
@@ -29,7 +29,7 @@
 func (s *Service) publish(ctx context.Context, key, publishID string, e editFunc) (config.Change, error) {
 	for attempt := range maxPublishAttempts {
 		if attempt > 0 {
-			time.Sleep((publishBackoff << attempt) / 2)
+			time.Sleep((publishBackoff << attempt) / 2) // publishBackoff at first, then twice as long each time.
 		}
 		entry, shard, err := s.read(ctx, key)
 		if err != nil {
@@ -67,8 +67,9 @@
 
 // confirm reads the shard back to find out whether a change whose response was lost
 // took effect. The shard stores recent publish ids, so the change is found even after
-// later ones. False means that it did not take effect. It can't do so later either, as
-// the next attempt replaces the version that its compare-and-swap expects.
+// later ones. False means that it had not taken effect when the shard was read. It still
+// can until another write replaces the version that its compare-and-swap expects, such as
+// the next attempt of publish.
 func (s *Service) confirm(ctx context.Context, key, publishID string) (bool, error) {
 	for range maxConfirmAttempts {
 		time.Sleep(publishBackoff)
@@ -110,7 +111,8 @@
 	return f
 }
 
-// PublishTemplate implements the generated service.
+// PublishTemplate implements the generated service. A base other than 0 must be the sequence
+// of the version in force.
 func (s *Service) PublishTemplate(ctx context.Context, p *adminapi.PublishTemplatePayload) (*adminapi.Revision, error) {
 	if err := authorizeChange(ctx, p.Template); err != nil {
 		return nil, err
@@ -160,7 +162,8 @@
 	return nil
 }
 
-// SetAccount implements the generated service.
+// SetAccount implements the generated service. A base other than 0 must be the sequence of the
+// account in force.
 func (s *Service) SetAccount(ctx context.Context, p *adminapi.SetAccountPayload) (*adminapi.Revision, error) {
 	if err := authorizeChange(ctx, p.Template); err != nil {
 		return nil, err
@@ -194,7 +197,7 @@
 	return revision(p.Template, p.Account, key, change), nil
 }
 
-// RemoveAccount implements the generated service.
+// RemoveAccount implements the generated service. It is a fault if there is no such account.
 func (s *Service) RemoveAccount(ctx context.Context, p *adminapi.RemoveAccountPayload) (*adminapi.Revision, error) {
 	if err := authorizeChange(ctx, p.Template); err != nil {
 		return nil, err
--- a/admin/show.go
+++ b/admin/show.go
@@ -13,7 +13,8 @@
 	"eiderfold/result"
 )
 
-// ListTemplates implements the generated service.
+// ListTemplates implements the generated service. It returns the current version of each
+// template in the store.
 func (s *Service) ListTemplates(ctx context.Context, _ *adminapi.ListTemplatesPayload) ([]*adminapi.Revision, error) {
 	keys, err := s.store.Keys(ctx, config.Prefix)
 	if err != nil {
@@ -36,16 +37,17 @@
 	return found, nil
 }
 
-// ShowTemplate implements the generated service.
+// ShowTemplate implements the generated service. It returns the current version.
 func (s *Service) ShowTemplate(ctx context.Context, p *adminapi.ShowTemplatePayload) (*adminapi.Document, error) {
 	all, err := s.TemplateHistory(ctx, &adminapi.TemplateHistoryPayload{Template: p.Template})
 	if err != nil {
 		return nil, err
 	}
-	return all[0], nil
+	return all[0], nil // The newest version comes first.
 }
 
-// TemplateHistory implements the generated service.
+// TemplateHistory implements the generated service. It returns the stored versions, newest
+// first.
 func (s *Service) TemplateHistory(ctx context.Context, p *adminapi.TemplateHistoryPayload) ([]*adminapi.Document, error) {
 	key := config.TemplateKey(p.Template)
 	_, shard, err := s.read(ctx, key)
@@ -62,7 +64,7 @@
 	return found, nil
 }
 
-// ShowAccount implements the generated service.
+// ShowAccount implements the generated service. The source is the account's parameters in YAML.
 func (s *Service) ShowAccount(ctx context.Context, p *adminapi.ShowAccountPayload) (*adminapi.Document, error) {
 	key := config.AccountKey(p.Template, p.Account)
 	_, shard, err := s.read(ctx, key)
@@ -80,7 +82,7 @@
 	return &adminapi.Document{Revision: revision(p.Template, p.Account, key, a.Change), Source: string(source)}, nil
 }
 
-// ListAccounts implements the generated service.
+// ListAccounts implements the generated service. The accounts are sorted by name.
 func (s *Service) ListAccounts(ctx context.Context, p *adminapi.ListAccountsPayload) ([]*adminapi.Revision, error) {
 	var found []*adminapi.Revision
 	for _, key := range config.AccountKeys(p.Template) {
@@ -96,7 +98,8 @@
 	return found, nil
 }
 
-// Status implements the generated service.
+// Status implements the generated service. It returns an entry for each shard of each reachable
+// node, and one without a shard for each other node, whose sequences are unknown.
 func (s *Service) Status(ctx context.Context, _ *adminapi.StatusPayload) ([]*adminapi.ShardState, error) {
 	var found []*adminapi.ShardState
 	for _, n := range s.node.Fleet(ctx) {
@@ -110,7 +113,7 @@
 	return found, nil
 }
 
-// Dump implements the generated service.
+// Dump implements the generated service. It returns the state of this node.
 func (s *Service) Dump(context.Context, *adminapi.DumpPayload) (any, error) {
 	return s.node.Dump(), nil
 }
--- a/bench/fleet/control.go
+++ b/bench/fleet/control.go
@@ -29,8 +29,8 @@
 }
 
 // WaitReady waits until every running node has the configuration, a lease and all
-// upstreams, and exactly one coordinator makes decisions. With a baseline policy it
-// does not wait for the coordinator.
+// upstreams, and exactly one node, the coordinator, makes decisions. With a baseline policy
+// no node does, and it does not wait for that.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
@@ -42,6 +42,7 @@
 	return errors.Errorf("the fleet is not ready; see %s", f.options.Dir)
 }
 
+// ready reports whether the condition of WaitReady holds.
 func (f *Fleet) ready() bool {
 	decidingNodes := 0
 	for _, n := range f.Nodes {
@@ -84,8 +85,8 @@
 	return d, json.NewDecoder(resp.Body).Decode(&d)
 }
 
-// Coordinator returns the first running node that reports that it leads, nil if there
-// is none.
+// Coordinator returns the first running node that reports that it leads, that is that it is
+// the coordinator, nil if there is none. It may not make decisions yet.
 func (f *Fleet) Coordinator() *Node {
 	for _, n := range f.Nodes {
 		if !n.Running() {
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -32,7 +32,7 @@
 	Services    []struct {
 		Name      string `yaml:"name"`
 		Upstreams int    `yaml:"upstreams"`
-		Floor     int    `yaml:"floor"`  // Same as the template's, for the checks.
+		Floor     int    `yaml:"floor"`  // Minimum of upstreams that are not ejected; as in the template, to check runs against it.
 		Lookup    string `yaml:"lookup"` // Path of a retryable GET.
 		Order     string `yaml:"order"`  // Path of an at-most-once POST.
 	} `yaml:"services"`
@@ -158,7 +158,7 @@
 	if f.platform, f.PlatformAddress, err = f.startStandin(ctx, "platform"); err != nil {
 		return err
 	}
-	if f.faultProxy, f.FaultProxyAddress, err = f.startStandin(ctx, "cutter"); err != nil {
+	if f.faultProxy, f.FaultProxyAddress, err = f.startStandin(ctx, "cutter"); err != nil { // The kind of the fault proxy.
 		return err
 	}
 	if err := f.startUpstreams(ctx); err != nil {
@@ -183,7 +183,8 @@
 	return f.WaitReady(ctx)
 }
 
-// startStandin runs a simulated server of the given kind and returns its address.
+// startStandin runs a simulated server of the given kind and returns its address. Its log is
+// named after the kind or, with arguments, after the second one, the value of --name.
 func (f *Fleet) startStandin(ctx context.Context, kind string, arguments ...string) (*Process, string, error) {
 	name := kind
 	if len(arguments) > 1 {
@@ -310,7 +311,8 @@
 	})
 }
 
-// seeds returns the peer addresses of the nodes that were started so far.
+// seeds returns the peer addresses of the nodes that were started so far. The next node
+// contacts them if the platform is unavailable at its start.
 func (f *Fleet) seeds() []string {
 	seeds := []string{}
 	for _, n := range f.Nodes {
--- a/bench/fleet/process.go
+++ b/bench/fleet/process.go
@@ -29,9 +29,9 @@
 
 // Binaries holds the paths of the programs that a deployment runs.
 type Binaries struct {
-	Node     string
-	Eiderctl string // eiderctl
-	Standin  string
+	Node     string // eiderfold
+	Eiderctl string
+	Standin  string // Simulated upstreams and platform, and the fault proxy.
 	// Baseline is a node that runs a baseline policy.
 	Baseline string
 	// Passthrough is a minimal proxy, for comparing the cost of a request.
--- a/bench/soak/crashing.go
+++ b/bench/soak/crashing.go
@@ -16,7 +16,7 @@
 const (
 	// maxCrashes is how many upstreams a request may crash before the fleet has to
 	// quarantine it. Later than propagationTime after that, connected nodes may send it
-	// to upstreams at most maxLateArrivals times. The users set this bound.
+	// to upstreams at most maxLateArrivals times, which is a requirement of the users.
 	// A node counts as connected again propagationTime after its last fault.
 	maxCrashes      = 3
 	maxLateArrivals = 3
@@ -34,8 +34,8 @@
 	method, path string
 	mu           sync.Mutex
 	crashes      int
-	boundAt      time.Time // When the crash count reached maxCrashes.
-	lateArrivals int       // Arrivals at upstreams later than propagationTime after boundAt.
+	maxCrashesAt time.Time // When the crash count reached maxCrashes.
+	lateArrivals int       // Arrivals at upstreams later than propagationTime after maxCrashesAt.
 }
 
 // newCrashingRequests returns a crashing lookup and a crashing order, by path.
@@ -52,7 +52,7 @@
 func (e *crashingRequest) recordArrival(nodeConnected bool, c *checker) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.boundAt.IsZero() || time.Since(e.boundAt) <= propagationTime || !nodeConnected {
+	if e.maxCrashesAt.IsZero() || time.Since(e.maxCrashesAt) <= propagationTime || !nodeConnected {
 		return
 	}
 	if e.lateArrivals++; e.lateArrivals == maxLateArrivals+1 {
@@ -65,7 +65,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.crashes++; e.crashes == maxCrashes {
-		e.boundAt = time.Now()
+		e.maxCrashesAt = time.Now()
 	}
 }
 
--- a/bench/soak/faults.go
+++ b/bench/soak/faults.go
@@ -122,6 +122,7 @@
 	return "held links to " + n.name
 }
 
+// cutOneWay holds what n receives over the links that it dialled, until the rule ends.
 func (s *soak) cutOneWay(_ context.Context, n *node) string {
 	s.applyRule(standin.Rule{From: n.ip, DropInbound: true, Hold: true}, s.randomDuration(4*time.Second))
 	return "cut links one way from " + n.name
--- a/bench/soak/soak.go
+++ b/bench/soak/soak.go
@@ -1,15 +1,17 @@
 // Package soak runs a small fleet as real processes on loopback and injects random
-// faults from outside: it holds, delays, resets or cuts links one way, stops, kills,
-// pauses and restarts processes, disrupts the store, drains upstreams and publishes
-// configurations. Meanwhile it compares the responses that callers received with the
-// requests that upstreams ran.
+// faults from outside: it holds links in one or both directions, delays or resets them,
+// stops, kills, pauses and restarts processes, disrupts the store, drains upstreams and
+// publishes configurations. Meanwhile it compares the responses that callers received with
+// the requests that upstreams ran.
 //
 // # Usage
 //
 //	report, err := soak.Run(ctx, soak.Options{Program: "eiderfold", Dir: dir, Seed: 7, For: time.Minute, Nodes: 6})
 //	for _, v := range report.Violations { ... }
 //
-// The seed determines the faults, but not how the processes interleave.
+// The seed initializes the random source of the faults. Faults that overlap draw from it in
+// the order in which they run, and processes interleave differently, so that runs with the
+// same seed differ.
 package soak
 
 import (
@@ -53,7 +55,8 @@
 	Uploads bool
 	// Operator adds evacuations of data centres and restores of the store from a copy.
 	Operator bool
-	// Ending adds requests that crash the upstreams which run them.
+	// Ending adds requests that crash (end) the upstreams which run them, and faults that kill
+	// all nodes at once.
 	Ending bool
 }
 
@@ -144,7 +147,7 @@
 	return nil
 }
 
-// end kills all nodes.
+// killNodes kills the processes of all nodes.
 func (s *soak) killNodes() {
 	for _, n := range s.nodes {
 		n.kill()
--- a/bench/standin/faultproxy.go
+++ b/bench/standin/faultproxy.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// Rule describes the faults on the link from a source address to a target.
+// Rule describes the faults on the link from a source address to a target. The JSON names
+// belong to the control API; where they differ, the field names say what a field does.
 type Rule struct {
 	From          string        `json:"from"`    // Source IP address, "" for any.
 	To            string        `json:"to"`      // Name of the link, "" for any.
--- a/bench/standin/metadata.go
+++ b/bench/standin/metadata.go
@@ -12,7 +12,8 @@
 	"eiderfold/memory"
 )
 
-// MetadataFaults are the faults that a Metadata store injects.
+// MetadataFaults are the faults that a Metadata store injects. The JSON names belong to the
+// control API; where they differ, the field names say what a field does.
 type MetadataFaults struct {
 	Busy         bool          `json:"busy"`        // Every request gets 503.
 	Unresponsive bool          `json:"silent"`      // No request gets a response.
@@ -23,7 +24,8 @@
 }
 
 // Metadata is an in-memory server for the published protocol of the store on the
-// users' platform.
+// users' platform. It ignores the preconditions and leases of transactions, and applies
+// their writes one by one.
 type Metadata struct {
 	directory *memory.Directory
 	faults    atomic.Pointer[MetadataFaults]
--- a/bench/standin/metadatacalls.go
+++ b/bench/standin/metadatacalls.go
@@ -127,6 +127,7 @@
 		return
 	}
 	for _, s := range t.SetKeys {
+		// Nodes may not write keys with these prefixes.
 		if strings.HasPrefix(s.Key, "op/") || strings.HasPrefix(s.Key, "servers/") {
 			http.Error(w, "not yours", http.StatusForbidden)
 			return
--- a/bench/standin/upstream.go
+++ b/bench/standin/upstream.go
@@ -15,7 +15,8 @@
 	"time"
 )
 
-// Mode sets the faults that an upstream simulates.
+// Mode sets the faults that an upstream simulates. The JSON names belong to the control API;
+// where they differ, the field names say what a field does.
 type Mode struct {
 	FailShare      float64       `json:"fail_share"`  // Share of requests that get 500.
 	SlowFactor     float64       `json:"slow_factor"` // Factor on the work time; 0 and 1 are normal speed.
@@ -94,7 +95,7 @@
 // ServeHTTP implements http.Handler.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) { u.mux.ServeHTTP(w, r) }
 
-// SetMode replaces the mode and clears the hits.
+// SetMode replaces the mode and clears the recorded arrivals.
 func (u *Upstream) SetMode(m Mode) {
 	u.mu.Lock()
 	u.counts.Arrivals = nil
@@ -110,7 +111,7 @@
 	if err != nil {
 		return // Ignores an incomplete request.
 	}
-	u.recordHit()
+	u.recordArrival()
 	if m.Leaving || m.Shed {
 		u.refuse(w, m)
 		return
@@ -155,7 +156,9 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// recordStart counts and logs the start of the work, before any of it is done.
+// recordStart counts and logs the start of the work, before any of it is done. Tests find
+// operations that started twice in the log. The mark (header X-Mark) is the caller's id of
+// the request.
 func (u *Upstream) recordStart(r *http.Request) {
 	u.updateCounts(func(c *UpstreamCounts) { c.Started++ })
 	if u.log == nil {
@@ -190,8 +193,8 @@
 	}
 }
 
-// respond writes the request's mark, the upstream's name, the request's body and a
-// checksum, by which a caller checks that the response is complete and its own.
+// respond writes the request's mark (header X-Mark), the upstream's name, the request's
+// body and a checksum, by which a caller checks that the response is complete and its own.
 func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, body []byte, cut bool) {
 	text := fmt.Sprintf("%s %s %s", r.Header.Get("X-Mark"), u.o.Name, body)
 	text += fmt.Sprintf(" %08x", crc32.ChecksumIEEE([]byte(text)))
@@ -203,7 +206,7 @@
 	_, _ = io.WriteString(w, text) // The client may have disconnected.
 }
 
-func (u *Upstream) recordHit() {
+func (u *Upstream) recordArrival() {
 	at := time.Since(time.Unix(0, u.modeChanged.Load())).Milliseconds()
 	u.updateCounts(func(c *UpstreamCounts) { c.Arrivals = append(c.Arrivals, at) })
 }
--- a/cmd/eiderctl/losses.go
+++ b/cmd/eiderctl/losses.go
@@ -17,20 +17,20 @@
 	upstreamErred        cause = "upstream erred"
 	upstreamBroke        cause = "upstream reset or cut"
 	upstreamShed         cause = "upstream shed"
-	nestedFailed         cause = "own call failed"
+	nestedFailed         cause = "own call failed" // A request failed that the upstream made for this one.
 	noSlot               cause = "no slot"
-	gatesOnTrial         cause = "gates on trial"
+	gatesOnTrial         cause = "gates on trial" // Gates that admit only trial requests refused it.
 	budgetExhausted      cause = "repeat budget spent"
 	gateClosed           cause = "gates closed"
 	notReached           cause = "node or link lost"
 	noConfiguration      cause = "no configuration"
 	overAccountLimit     cause = "over the account's limit"
 	limitUnconfirmed     cause = "limit unconfirmed"
-	crashesUpstreams     cause = "upstreams end under it"
+	crashesUpstreams     cause = "upstreams end under it" // Quarantined, since upstreams crashed while running it.
 	lateByQueue          cause = "late by queue"
 	lateByWork           cause = "late by work"
 	callerDisconnected   cause = "caller left"
-	incomplete           cause = "story incomplete"
+	incomplete           cause = "story incomplete" // The logs contain no line of a gate about its attempt.
 )
 
 // Messages of the log lines that are read.
@@ -48,7 +48,7 @@
 // losses collects the log lines about requests that were not served in time.
 type losses struct {
 	requests []logLine
-	outcomes map[string]string // Outcome of the latest run, by the request's id (field attempt).
+	outcomes map[string]string // Outcome in the last line read of a gate, by the caller's id of the request (field attempt).
 	skipped  int               // Number of lines that are not log lines.
 }
 
@@ -165,7 +165,7 @@
 	if r.text("refused") == "budget" {
 		return budgetExhausted
 	}
-	doubt := r.text("doubt")
+	doubt := r.text("doubt") // Why the outcome is unknown, as worded by package ingress.
 	if strings.Contains(doubt, "the link to") || strings.Contains(doubt, "has been restarted") {
 		return notReached
 	}
--- a/cmd/eiderctl/main.go
+++ b/cmd/eiderctl/main.go
@@ -10,8 +10,8 @@
 //	eiderctl status
 //
 // Exit codes: 0 done, 1 other errors, 2 wrong usage, 3 document refused,
-// 4 conflict, 5 forbidden, 6 missing, 7 store unavailable, 8 accepted but not in force
-// before the timeout.
+// 4 conflict, 5 forbidden, 6 missing, 7 store unavailable, or its answer lost so that the
+// change may have been made, 8 accepted but not in force before the timeout.
 package main
 
 import (
@@ -36,7 +36,7 @@
 	exitConflict    = 4
 	exitForbidden   = 5
 	exitMissing     = 6
-	exitUnavailable = 7
+	exitUnavailable = 7 // Also for result.ChangeUnknown and any code without an exit code of its own.
 	exitNotInForce  = 8
 )
 
--- a/cmd/eiderctl/template.go
+++ b/cmd/eiderctl/template.go
@@ -145,6 +145,8 @@
 	}
 }
 
+// history returns the stored versions of a template, newest first, and the client that it
+// used.
 func history(c *cobra.Command, o *options, name string) (*adminapi.Client, []*adminapi.Document, error) {
 	client, err := o.client()
 	if err != nil {
--- a/cmd/eiderfold/dev.go
+++ b/cmd/eiderfold/dev.go
@@ -30,13 +30,13 @@
 var sampleTemplate string
 
 const (
-	sampleName        = "montevideo"
-	sampleAccount     = "oficina-07"
-	sampleToken       = "sample-token-for-dev"
-	sampleDataCentre  = "sede-central"
-	sampleDelay       = 2 * time.Millisecond
-	readyTimeout      = 20 * time.Second
-	readyPollInterval = 50 * time.Millisecond
+	sampleTemplateName = "montevideo"
+	sampleAccount      = "oficina-07"
+	sampleToken        = "sample-token-for-dev"
+	sampleDataCentre   = "sede-central"
+	sampleDelay        = 2 * time.Millisecond
+	readyTimeout       = 20 * time.Second
+	readyPollInterval  = 50 * time.Millisecond
 )
 
 // devCommand returns the command that runs a node, an in-memory platform and sample
@@ -52,19 +52,20 @@
 	peers := c.Flags().String("peers", "127.0.0.1:7400", "IP:port for other nodes")
 	level := c.Flags().String("log", "warn", "minimum log level")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		return dev(c, devPorts{callers: *callers, admin: *operators, peers: *peers, level: *level})
+		return dev(c, devOptions{callers: *callers, admin: *operators, peers: *peers, level: *level})
 	}
 	return c
 }
 
-type devPorts struct{ callers, admin, peers, level string }
+// devOptions holds the IP:port addresses to listen on and the log level.
+type devOptions struct{ callers, admin, peers, level string }
 
-func dev(c *cobra.Command, ports devPorts) error {
-	log, err := logger(ports.level, "console")
+func dev(c *cobra.Command, options devOptions) error {
+	log, err := logger(options.level, "console")
 	if err != nil {
 		return err
 	}
-	s, material, err := devSettings(ports)
+	s, material, err := devSettings(options)
 	if err != nil {
 		return err
 	}
@@ -79,15 +80,15 @@
 	if err != nil {
 		return err
 	}
-	list.Put(node.ListName(sampleName), port.Instance{Name: s.Node(), Address: n.PeerAddress(), DataCentre: sampleDataCentre, State: port.Live})
-	go announce(c, ports)
+	list.Put(node.ListName(sampleTemplateName), port.Instance{Name: s.Node(), Address: n.PeerAddress(), DataCentre: sampleDataCentre, State: port.Live})
+	go announce(c, options)
 	api := admin.New(n, store, s.Teams(), log)
 	return n.Run(c.Context(), api.Handler(), nil)
 }
 
 // devSettings returns settings with newly generated keys. They are loaded from a
 // file, like those of any node, so that they are validated the same way.
-func devSettings(ports devPorts) (*settings.Settings, *keys.Material, error) {
+func devSettings(options devOptions) (*settings.Settings, *keys.Material, error) {
 	authority, err := keys.NewAuthority("dev")
 	if err != nil {
 		return nil, nil, err
@@ -99,8 +100,8 @@
 	text, err := yaml.Marshal(map[string]any{
 		"node":        "dev",
 		"data_centre": sampleDataCentre,
-		"templates":   []string{sampleName},
-		"listen":      map[string]string{"callers": ports.callers, "admin": ports.admin, "peers": ports.peers},
+		"templates":   []string{sampleTemplateName},
+		"listen":      map[string]string{"callers": options.callers, "admin": options.admin, "peers": options.peers},
 		"platform":    map[string]string{"address": "http://in-memory"},
 		"keys":        map[string]string{"certificate": string(pair.Certificate), "key": string(pair.Key), "authority": string(authority.Certificate())},
 		"teams":       []map[string]any{{"name": "dev", "token": sampleToken, "templates": []string{"*"}}},
@@ -165,8 +166,8 @@
 	template.PutTemplate(change, sampleTemplate)
 	accounts.PutAccount(change, sampleAccount, map[string]string{"office": "7"})
 	for key, shard := range map[string]*config.Shard{
-		config.TemplateKey(sampleName):               template,
-		config.AccountKey(sampleName, sampleAccount): accounts,
+		config.TemplateKey(sampleTemplateName):               template,
+		config.AccountKey(sampleTemplateName, sampleAccount): accounts,
 	} {
 		value, err := shard.Encode()
 		if err != nil {
@@ -179,10 +180,10 @@
 	return nil
 }
 
-// announce prints example commands once the node serves requests, or after
-// readyTimeout.
-func announce(c *cobra.Command, ports devPorts) {
-	lookup := "http://" + ports.callers + "/" + sampleAccount + "/births/118"
+// announce prints example commands once the node serves requests, or else after
+// readyTimeout or when the command ends.
+func announce(c *cobra.Command, options devOptions) {
+	lookup := "http://" + options.callers + "/" + sampleAccount + "/births/118"
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && c.Context().Err() == nil {
 		response, err := http.Get(lookup)
@@ -197,9 +198,9 @@
 	lines := []string{
 		"ready; try:",
 		"  curl -i " + lookup,
-		"  curl -i -X POST -H 'Idempotency-Key: order-1' -d 'entry 118' http://" + ports.callers + "/" + sampleAccount + "/copies",
-		"  curl -H 'Authorization: Bearer " + sampleToken + "' http://" + ports.admin + "/v1/templates",
-		"  curl -H 'Authorization: Bearer " + sampleToken + "' http://" + ports.admin + "/v1/dump",
+		"  curl -i -X POST -H 'Idempotency-Key: order-1' -d 'entry 118' http://" + options.callers + "/" + sampleAccount + "/copies",
+		"  curl -H 'Authorization: Bearer " + sampleToken + "' http://" + options.admin + "/v1/templates",
+		"  curl -H 'Authorization: Bearer " + sampleToken + "' http://" + options.admin + "/v1/dump",
 	}
 	fmt.Fprintln(c.OutOrStdout(), strings.Join(lines, "\n")) //nolint:errcheck // Standard output may be closed.
 }
--- a/cmd/eiderfold/gc.go
+++ b/cmd/eiderfold/gc.go
@@ -5,7 +5,7 @@
 	"runtime/debug"
 )
 
-// gcPercent is the default GOGC of a node: the heap growth in percent that starts a
+// gcPercent is the default GOGC of `eiderfold mesh`: the heap growth in percent that starts a
 // garbage collection. It is below Go's 100, as many nodes run on small instances,
 // where memory costs more than the CPU time of more frequent collections.
 const gcPercent = 50
--- a/cmd/eiderfold/main.go
+++ b/cmd/eiderfold/main.go
@@ -2,9 +2,10 @@
 //
 // # Usage
 //
-//	eiderfold dev                      # a node with sample upstreams, to try it
-//	eiderfold run --settings node.yaml # a node of a fleet
-//	eiderfold check --settings node.yaml
+//	eiderfold dev                        # a node with sample upstreams, to try it
+//	eiderfold run --settings node.yaml   # a node of a fleet, with Consul as its platform
+//	eiderfold check --settings node.yaml # checks the settings and keys for run
+//	eiderfold mesh --settings node.yaml  # a node beside an upstream on the users' platform
 //	eiderfold keys authority --out ca
 //	eiderfold keys node --authority ca --name node-1 --address 10.0.0.1 --out node-1
 package main
--- a/cmd/eiderfold/mesh.go
+++ b/cmd/eiderfold/mesh.go
@@ -14,7 +14,7 @@
 )
 
 // settingsVariable is the environment variable in which the platform sets the path
-// of the settings file.
+// of the settings file. The file is parsed as YAML whatever its name.
 const settingsVariable = "EIDERFOLD_BOOT"
 
 func meshCommand() *cobra.Command {
--- a/cmd/eiderfold/run.go
+++ b/cmd/eiderfold/run.go
@@ -93,13 +93,13 @@
 	if callers != nil {
 		go callers.ReloadUntil(c.Context().Done(), report)
 	}
-	platform := consul.New(s.PlatformAddress(),
+	client := consul.New(s.PlatformAddress(),
 		consul.WithToken(s.PlatformToken()),
 		consul.WithRate(s.CallsPerSecond(), int(2*s.CallsPerSecond())+1))
-	n, err := node.New(s, peers, node.WithStore(platform), node.WithList(platform), node.WithLog(log))
+	n, err := node.New(s, peers, node.WithStore(client), node.WithList(client), node.WithLog(log))
 	if err != nil {
 		return err
 	}
-	api := admin.New(n, platform, s.Teams(), log)
+	api := admin.New(n, client, s.Teams(), log)
 	return n.Run(c.Context(), api.Handler(), callers)
 }
--- a/config/holder.go
+++ b/config/holder.go
@@ -80,20 +80,20 @@
 
 // Holder holds the current snapshot. Reading it takes no lock.
 type Holder struct {
-	mu     sync.Mutex // Serializes writers; guards shards.
-	now    atomic.Pointer[Snapshot]
-	shards map[string][]byte // Store values by key, to serve to peers.
+	mu      sync.Mutex // Serializes writers; guards shards.
+	current atomic.Pointer[Snapshot]
+	shards  map[string][]byte // Store values by key, to serve to peers.
 }
 
 // NewHolder returns a holder with an empty snapshot.
 func NewHolder() *Holder {
 	h := &Holder{shards: map[string][]byte{}}
-	h.now.Store(&Snapshot{sequences: map[string]uint64{}})
+	h.current.Store(&Snapshot{sequences: map[string]uint64{}})
 	return h
 }
 
 // Snapshot returns the current snapshot.
-func (h *Holder) Snapshot() *Snapshot { return h.now.Load() }
+func (h *Holder) Snapshot() *Snapshot { return h.current.Load() }
 
 // Shard returns the value of a shard as received, or nil if there is none.
 func (h *Holder) Shard(key string) []byte {
@@ -130,7 +130,7 @@
 	}
 	next.sequences[key] = shard.Sequence
 	h.shards[key] = value
-	h.now.Store(next)
+	h.current.Store(next)
 	return true, nil
 }
 
--- a/config/parse.go
+++ b/config/parse.go
@@ -25,7 +25,7 @@
 // Bounds of the fields.
 const (
 	maxUpstreams    = 10_000
-	maxSlots        = 100_000
+	maxCount        = 100_000 // Slots or connections.
 	maxTimeout      = 10 * time.Minute
 	minTimeout      = time.Millisecond
 	maxRepeatWindow = 24 * time.Hour
@@ -260,8 +260,8 @@
 	if n == nil {
 		return defaultValue
 	}
-	if *n < 1 || *n > maxSlots {
-		r.fault(field, "%d is not between 1 and %d", *n, maxSlots)
+	if *n < 1 || *n > maxCount {
+		r.fault(field, "%d is not between 1 and %d", *n, maxCount)
 	}
 	return *n
 }
--- a/config/template.go
+++ b/config/template.go
@@ -14,14 +14,15 @@
 
 import "time"
 
-// Operation tells whether the requests of a route may be retried.
+// Operation is the kind of operation that a route's requests are. It tells whether they may
+// be sent again.
 type Operation int
 
 // The kinds of operation.
 const (
 	// Retryable requests may be sent again, to the same or another upstream.
 	Retryable Operation = iota
-	// AtMostOnce requests are never sent again.
+	// AtMostOnce requests are only sent again if the upstream certainly did not run them.
 	AtMostOnce
 )
 
--- a/consul/consul.go
+++ b/consul/consul.go
@@ -8,7 +8,7 @@
 //	entries, index, err := c.Watch(ctx, "eiderfold/config/montevideo/", 0)
 //
 // A client limits its own rate, so that a fault in a node cannot exhaust the capacity
-// of the platform's Consul.
+// of Consul, which other systems use too.
 package consul
 
 import (
@@ -113,7 +113,8 @@
 	return keys, err
 }
 
-// CompareAndSwap implements port.Store with Consul's cas parameter.
+// CompareAndSwap implements port.Store with Consul's cas parameter. It refuses a value over
+// port.MaxValue with port.ErrUnavailable.
 func (c *Client) CompareAndSwap(ctx context.Context, e port.Entry) (bool, error) {
 	if len(e.Value) > port.MaxValue {
 		return false, errors.Wrapf(port.ErrUnavailable, "%s is %d bytes, over the store's %d", e.Key, len(e.Value), port.MaxValue)
@@ -146,8 +147,10 @@
 	}
 }
 
-// Instances implements port.InstanceList with the health endpoint. The meta keys
-// "state", "data_centre" and "generation" hold what Consul has no field for.
+// Instances implements port.InstanceList with the health endpoint. It returns the
+// instances regardless of their health in Consul. State, data centre and generation are
+// read from the service's meta keys "state", "data_centre" and "generation"; without
+// "data_centre", Consul's data centre applies.
 func (c *Client) Instances(ctx context.Context, service string, index uint64) ([]port.Instance, uint64, error) {
 	var rows []healthEntry
 	newest, err := c.call(ctx, http.MethodGet, "/v1/health/service/"+url.PathEscape(service), blockingQuery(ctx, index), nil, &rows)
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -5,8 +5,8 @@
 //
 //	authority, err := keys.NewAuthority("montevideo")
 //	pair, err := authority.Issue("node-1", []string{"10.0.0.1"})
-//	files, err := keys.Load(certPath, keyPath, caPath)
-//	tlsConfig := files.MutualTLS()
+//	material, err := keys.Load(certPath, keyPath, caPath)
+//	tlsConfig := material.MutualTLS()
 //
 // ReloadUntil reloads the files every few seconds, so a rotation needs no restart.
 package keys
@@ -29,8 +29,8 @@
 )
 
 const (
-	certificateValidity = 90 * 24 * time.Hour
-	clockSkew           = time.Hour // Subtracted from the start of the validity.
+	certificateValidity = 90 * 24 * time.Hour // Of the certificates of the authority and of nodes.
+	clockSkew           = time.Hour           // Subtracted from the start of the validity.
 	serialBits          = 120
 	reloadPeriod        = 5 * time.Second
 	// ServerName is a DNS name in every node's certificate besides its own name. Nodes
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	certificate, err := parse(pair.Certificate)
+	certificate, err := parseCertificate(pair.Certificate)
 	if err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 
 // OpenAuthority returns the authority with a given pair, as returned by Pair.
 func OpenAuthority(p Pair) (*Authority, error) {
-	certificate, err := parse(p.Certificate)
+	certificate, err := parseCertificate(p.Certificate)
 	if err != nil {
 		return nil, err
 	}
@@ -150,7 +150,8 @@
 	}, nil
 }
 
-func parse(text []byte) (*x509.Certificate, error) {
+// parseCertificate parses the certificate in the first block of a PEM text.
+func parseCertificate(text []byte) (*x509.Certificate, error) {
 	block, _ := pem.Decode(text)
 	if block == nil {
 		return nil, errors.New("no PEM certificate")
@@ -217,6 +218,8 @@
 	}
 }
 
+// set puts a pair and the trusted authorities in use. On an error the previous material
+// stays in use.
 func (m *Material) set(pair Pair, authority []byte) error {
 	certificate, err := tls.X509KeyPair(pair.Certificate, pair.Key)
 	if err != nil {
--- a/memory/directory.go
+++ b/memory/directory.go
@@ -226,7 +226,8 @@
 	return nil
 }
 
-// writeResult returns the error of a write that took effect. The lock must be held.
+// writeResult returns the result of a write that took effect: port.ErrUnknown while the fault
+// LoseWriteReplies is set. The lock must be held.
 func (d *Directory) writeResult() error {
 	if d.faults.LoseWriteReplies {
 		return port.ErrUnknown
--- a/memory/list.go
+++ b/memory/list.go
@@ -30,7 +30,7 @@
 		l.services[service] = map[string]port.Instance{}
 	}
 	l.services[service][i.Name] = i
-	l.notifyWatchers()
+	l.recordChange()
 }
 
 // Remove removes an instance from a service.
@@ -38,7 +38,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.services[service], name)
-	l.notifyWatchers()
+	l.recordChange()
 }
 
 // Find returns an instance and the service it belongs to.
@@ -75,8 +75,8 @@
 	}
 }
 
-// notifyWatchers increments the index and wakes waiting calls. The lock must be held.
-func (l *List) notifyWatchers() {
+// recordChange increments the index and wakes waiting calls. The lock must be held.
+func (l *List) recordChange() {
 	l.index++
 	close(l.changed)
 	l.changed = make(chan struct{})
--- a/memory/store.go
+++ b/memory/store.go
@@ -1,5 +1,6 @@
-// Package memory implements a store, a directory and an instance list in memory, for
-// "eiderfold dev" and tests. Nothing is persisted.
+// Package memory implements the store (port.Store) and the instance list of "eiderfold run"
+// and the store of "eiderfold mesh" (port.Directory) in memory, for "eiderfold dev" and
+// tests. Nothing is persisted.
 //
 // # Usage
 //
@@ -99,7 +100,7 @@
 // The lock must be held.
 func (s *Store) withPrefix(prefix string) ([]port.Entry, uint64) {
 	var found []port.Entry
-	newest := uint64(1)
+	newest := uint64(1) // Above 0, so that a watch from index 0 returns at once.
 	for k, e := range s.entries {
 		if strings.HasPrefix(k, prefix) {
 			found = append(found, e)
--- a/node/evidence.go
+++ b/node/evidence.go
@@ -126,7 +126,9 @@
 	}
 }
 
-// execute runs the commands that a service's outlier detector returned.
+// execute runs the commands that a service's outlier detector returned. It updates the
+// balancer if a decision changed: each LogDecision comes with a Publish. A single command
+// is the Publish of a tick, after which advance updates all balancers.
 func (g *Group) execute(name string, s *service, commands []core.Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
--- a/node/leader.go
+++ b/node/leader.go
@@ -72,12 +72,12 @@
 	g.updateLoads(now)
 }
 
-// suspend stops the outlier detectors until another node has confirmed this
-// coordinator and earlier leases have expired.
+// suspend stops the outlier detectors. advanceLeader starts them again when this
+// coordinator is confirmed and, except in epoch 1, core.Settle has passed.
 func (g *Group) suspend(reason string) {
 	g.log.Warn("not deciding", zap.String("reason", reason))
 	g.lead.deciding = false
-	g.lead.promisedAt = time.Now() // Leases of earlier decisions must expire first.
+	g.lead.promisedAt = time.Now() // Leases of earlier decisions expire within core.Settle from now.
 	g.lead.sets = map[string][]core.EjectionState{}
 	for _, s := range g.services {
 		s.detector.Update(core.StopDeciding{At: time.Now()})
--- a/node/node.go
+++ b/node/node.go
@@ -159,7 +159,9 @@
 	return false
 }
 
-// sourceIP returns the IP address from which this node connects to upstreams.
+// sourceIP returns the IP address from which this node connects to upstreams: that of its
+// address for peers, so that nodes on one machine can be told apart by it. It is nil if that
+// address does not parse, and then the system chooses.
 func (n *Node) sourceIP() net.IP {
 	addrPort, err := netip.ParseAddrPort(n.settings.Peers())
 	if err != nil {
--- a/node/operations.go
+++ b/node/operations.go
@@ -101,7 +101,8 @@
 	return result.New(result.KeyUnconfirmed, detail).WithRetryAfter(retryAfter)
 }
 
-// holder returns the holder for an attempt of this process.
+// holder returns the holder for an attempt of this process. Attempts start at 1; 0 stands
+// for the process itself.
 func (g *Group) holder(attempt uint64) core.Holder {
 	return core.Holder{Node: g.node.identity.Node, Incarnation: g.node.identity.Incarnation, Attempt: attempt}
 }
--- a/node/takeover.go
+++ b/node/takeover.go
@@ -76,7 +76,8 @@
 // ownGrantsReplica is a placeholder among the nodes to collect from. The new
 // coordinator removes it when another node has recorded the operations that this node
 // holds. Until then both records of them, the holder's and the coordinator's, would be
-// on this node.
+// on this node. The value stands where the claim table expects names of nodes; no node
+// has it, since names contain no spaces.
 const ownGrantsReplica = "second memory"
 
 // replicateOwn retries until another node has recorded this node's own operations.
--- a/node/watch.go
+++ b/node/watch.go
@@ -25,16 +25,17 @@
 )
 
 // shouldWatch reports whether this node must watch the platform: the coordinator does,
-// and so does a node without contact with it. Several nodes may watch at a time.
+// and so does a node without contact with it. The others get the same data from the
+// coordinator, which saves calls to the platform. Several nodes may watch at a time.
 func (g *Group) shouldWatch() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.leading() || g.leader.Epoch == 0 || time.Since(g.lastContact) > electionTimeout
 }
 
-// watch calls query repeatedly while this node must watch, with increasing delays
-// after failures. query receives the index that it returned last, or 0 at first and
-// after a failure.
+// watch calls query repeatedly, with increasing delays after failures. query receives
+// the index that it returned last, or 0 at first and after a failure. With index 0 it is
+// called in any case, and otherwise only while this node must watch.
 func (g *Group) watch(ctx context.Context, query func(ctx context.Context, index uint64) (uint64, error)) {
 	index, retry := uint64(0), minRetryDelay
 	for ctx.Err() == nil {
--- a/peer/message.go
+++ b/peer/message.go
@@ -101,7 +101,8 @@
 	Sequences       map[string]uint64     `cbor:"10,keyasint,omitempty"` // Set if the sender of the heartbeat has newer shards, which it then pushes.
 }
 
-// Leader is the assignment in the store, which names the coordinator of a template.
+// Leader names the coordinator of a template, also called its leader. It is stored as the
+// template's assignment.
 type Leader struct {
 	Node        string `cbor:"1,keyasint" json:"node"`
 	Incarnation uint64 `cbor:"2,keyasint" json:"incarnation"`
--- a/peer/transport.go
+++ b/peer/transport.go
@@ -29,7 +29,7 @@
 	maxStreams       = 256
 	closeDelay       = 5 * time.Second // For calls that still use a replaced connection.
 	codeClosed       = 0
-	codeMalformed    = 1
+	codeMalformed    = 1 // The request could not be read or decoded, or its reply not encoded.
 )
 
 // Handler answers a request. It must not retain the request.
@@ -38,16 +38,16 @@
 // Transport holds a node's connections to and from its peers. It is safe for
 // concurrent use.
 type Transport struct {
-	socket   *quic.Transport
-	listener *quic.Listener
-	client   *tls.Config
-	handler  Handler
-	mu       sync.Mutex
-	dialled  map[string]*link
-	sent     atomic.Int64
-	received atomic.Int64
-	serving  sync.WaitGroup
-	cancel   context.CancelFunc
+	socket    *quic.Transport
+	listener  *quic.Listener
+	client    *tls.Config
+	handler   Handler
+	mu        sync.Mutex
+	dialled   map[string]*link
+	sent      atomic.Int64
+	received  atomic.Int64
+	accepting sync.WaitGroup // The accept loop.
+	cancel    context.CancelFunc
 }
 
 // link is a connection that is dialled once for all calls that wait for it. ready is
@@ -83,7 +83,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.cancel = cancel
-	t.serving.Go(func() { t.accept(ctx) })
+	t.accepting.Go(func() { t.accept(ctx) })
 	return t, nil
 }
 
@@ -108,7 +108,8 @@
 // in bytes.
 func (t *Transport) Traffic() (sent, received int64) { return t.sent.Load(), t.received.Load() }
 
-// Close closes the UDP port and all connections.
+// Close ends all connections and stops reading the UDP port, whose socket stays open. It
+// waits for the accept loop, but not for requests that are being served.
 func (t *Transport) Close() error {
 	t.cancel()
 	err := t.listener.Close()
@@ -124,7 +125,7 @@
 	}
 	t.mu.Unlock()
 	_ = t.socket.Close()
-	t.serving.Wait()
+	t.accepting.Wait()
 	return errors.Wrap(err, "close")
 }
 
--- a/proxy/doc.go
+++ b/proxy/doc.go
@@ -1,16 +1,18 @@
 // Package proxy handles callers' requests: it finds the client account and the
 // route, chooses an upstream, sends the request, retries or hedges it where the
-// route allows that, and returns the complete answer or a numbered result.
+// route allows that, and relays the upstream's answer or, if there is none, returns a
+// result code (package result).
 //
 // # Usage
 //
 //	h := proxy.NewHandler(holder, directory, operations, proxy.WithLimits(limits))
 //	http.ListenAndServe("127.0.0.1:8080", h)
 //
-// Apart from the short critical section of error attribution, the request path
-// takes no lock that all requests share. It reads the configuration and each
+// Apart from the short critical section of error attribution, the request path in this
+// package takes no lock that all requests share. It reads the configuration and each
 // service's rotation through atomic pointers, and counts outcomes in per-upstream
-// atomics, which package node drains as evidence.
+// atomics, which package node drains as evidence. The given Operations and the function
+// of WithSuspects may take locks of their own.
 package proxy
 
 import (
--- a/proxy/exchange.go
+++ b/proxy/exchange.go
@@ -53,7 +53,7 @@
 	request  *http.Request
 	path     string    // Without the account segment.
 	body     []byte    // The complete body, unless stream is set.
-	stream   io.Reader // A body too large to buffer.
+	stream   io.Reader // A body that is not buffered; see readBody.
 	deadline time.Time
 }
 
--- a/proxy/handler.go
+++ b/proxy/handler.go
@@ -53,7 +53,7 @@
 const (
 	defaultBodyBytes      = 16 << 20
 	defaultKeyedBodyBytes = 1 << 20
-	maxRewindBytes        = 64 << 10 // Larger bodies without a key are streamed and cannot be sent again.
+	maxRewindBytes        = 64 << 10 // Bodies without a key that declare more are streamed and cannot be sent again.
 )
 
 // NewHandler returns a handler over the configuration in force.
@@ -156,8 +156,11 @@
 
 type routeKey struct{ template, service, route string }
 
-// readBody buffers the body of a keyed operation, and any other body that is short
-// enough to be sent again. Bodies with a larger declared length are streamed.
+// readBody buffers the body of a keyed operation, and any other body whose declared
+// length is at most maxRewindBytes or unknown, up to the limit. Other bodies are streamed.
+//
+// The limit shows whether the operation is keyed: if Limits.Body and Limits.KeyedBody are
+// equal, every body is buffered.
 func (h *Handler) readBody(w http.ResponseWriter, c *call) *result.Error {
 	r := c.request
 	if r.Body == nil || r.Body == http.NoBody {
--- a/proxy/once.go
+++ b/proxy/once.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	keptAnswer  = 64 << 10 // Bytes of an answer that is kept for repeats.
+	keptAnswer  = 64 << 10 // Unused: the operation table limits the answers that it keeps.
 	maxKeyBytes = 256
 )
 
@@ -117,9 +117,8 @@
 	}
 }
 
-// record reads an answer to its end and reports whether it is complete. An answer
-// too large to keep is complete too; the operation table then only records that
-// the operation ran.
+// record reads an answer of any size to its end and reports whether it is complete. If
+// the operation table cannot keep it, the table only records that the operation ran.
 func record(a *answer) (*core.Recorded, bool) {
 	defer a.close()
 	body := a.prefix
--- a/proxy/retryable.go
+++ b/proxy/retryable.go
@@ -23,9 +23,9 @@
 	return a.answer != nil && a.answer.response.StatusCode < http.StatusInternalServerError
 }
 
-// race runs the attempts of one retryable request. The first starts at once,
-// another one when an attempt fails, or when the first is slow (a hedge). Each
-// attempt after the first takes a token of the service's retry budget.
+// race runs the attempts of one retryable request. The first starts at once. Another one
+// may start when the last running attempt ends without a usable answer, or when the first
+// is slow (a hedge). Each attempt after the first takes a token of the service's retry budget.
 type race struct {
 	handler *Handler
 	call    *call
@@ -34,7 +34,7 @@
 	running int
 	tried   []*Upstream
 	best    attemptResult // The best result so far.
-	hedged  bool
+	hedged  bool          // A token was taken for a hedge.
 }
 
 const maxAttempts = 3
--- a/result/result.go
+++ b/result/result.go
@@ -47,19 +47,19 @@
 	NoAccount          Code = 20
 	NoRoute            Code = 21
 	BodyTooLarge       Code = 22
-	BadRequest         Code = 23
+	BadRequest         Code = 23 // A header that eiderfold reads is invalid.
 	SlowCaller         Code = 24
-	KeyReused          Code = 25
+	KeyReused          Code = 25 // The key is an Idempotency-Key.
 	HeaderTooLarge     Code = 26
-	UnknownKey         Code = 27
+	UnknownKey         Code = 27 // The key is that of a client account.
 	OverLimit          Code = 28
-	Quarantined        Code = 29
+	Quarantined        Code = 29 // See package quarantine.
 	NoConfiguration    Code = 30
 	Overloaded         Code = 31
 	Stopping           Code = 32
 	DeadlineBeforeSend Code = 33
 	NoUpstream         Code = 34
-	UpstreamShed       Code = 35
+	UpstreamShed       Code = 35 // By contract, an upstream that sheds a request has not run it.
 	ConnectFailed      Code = 36
 	LimitUnconfirmed   Code = 37
 	TooManyConnections Code = 38
@@ -69,7 +69,7 @@
 	AnswerLate         Code = 42
 	RepeatInProgress   Code = 43
 	AnswerNotKept      Code = 44
-	KeyUnconfirmed     Code = 45
+	KeyUnconfirmed     Code = 45 // The key is an Idempotency-Key.
 )
 
 // Results of an administrative change.
@@ -82,7 +82,8 @@
 	ChangeUnknown    Code = 65
 )
 
-// entry describes a code; text is its description for people.
+// entry describes a code; text is its description for people. In the texts, "ours" are the
+// headers that eiderfold reads, and "nobody" is no node.
 type entry struct {
 	name    string
 	status  int
--- a/settings/check.go
+++ b/settings/check.go
@@ -90,12 +90,14 @@
 	if l.KeyedBodyBytes < 0 || l.KeyedBodyBytes > l.BodyBytes {
 		fault("limits.keyed_body_bytes", "%d is not between 0 and body_bytes", l.KeyedBodyBytes)
 	}
+	// The default of body_bytes is also the maximum of header_bytes.
 	if l.HeaderBytes < minHeader || l.HeaderBytes > defaultBody {
 		fault("limits.header_bytes", "%d is not between %d and %d", l.HeaderBytes, minHeader, defaultBody)
 	}
 	if l.Connections < 1 || l.Connections > maxConnections {
 		fault("limits.connections", "%d is not between 1 and %d", l.Connections, maxConnections)
 	}
+	// A negative limits.slow_caller is reported as this fault too.
 	if l.SlowCaller < 0 || s.Stop.Grace < 0 || s.Stop.Deadline < s.Stop.Grace {
 		fault("stop", "grace and deadline must not be negative, nor the deadline before the grace")
 	}
--- a/settings/mesh.go
+++ b/settings/mesh.go
@@ -17,7 +17,7 @@
 	defaultMeshGrace   = 6 * time.Second // From SIGTERM until the platform kills the process.
 	defaultRetryRatio  = 0.2             // Repeated attempts per request of the fleet.
 	defaultRetrySlack  = 20              // Repeated attempts above the ratio.
-	defaultFloorShare  = 0.7             // Of a service's gates.
+	defaultFloorShare  = 0.7             // Of a service's gates, see FloorShare.
 	defaultAcknowledge = 4 * time.Second
 	defaultLimitWindow = 5 * time.Second // Window in which an account's requests are counted.
 	defaultMemory      = 256             // Memory of the instance, in megabytes.
@@ -124,7 +124,7 @@
 // DataCentre returns the data centre the node is in.
 func (m *Mesh) DataCentre() string { return m.file.DataCentre }
 
-// Upstream returns the IP:port of the upstream beside the node.
+// Upstream returns the IP:port of the upstream on the node's instance.
 func (m *Mesh) Upstream() string { return m.file.Upstream.Address }
 
 // Service returns the service that the upstream belongs to.
@@ -157,7 +157,7 @@
 func (m *Mesh) Store() string { return m.file.Store }
 
 // FloorShare returns the fraction of a service's gates that stay in use even if they
-// are suspected.
+// are suspected. A gate is the part of a node that controls access to its upstream.
 func (m *Mesh) FloorShare() float64 { return m.file.Fleet.FloorShare }
 
 // AcknowledgeTimeout returns the maximum time to respond to an upstream's heartbeat.
--- a/settings/meshcheck.go
+++ b/settings/meshcheck.go
@@ -25,6 +25,7 @@
 	return faults
 }
 
+// checkNames reports names that are missing.
 func (m *Mesh) checkNames(fault faultFunc) {
 	f := m.file
 	for field, value := range map[string]string{"node": f.Node, "data_centre": f.DataCentre, "upstream.service": f.Upstream.Service} {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads a node's settings from a YAML file. The environment
-// overrides the file, and flags override both. All faults are reported at once.
+// Package settings reads settings from a YAML file. Load reads those of a node, in which
+// the environment overrides the file, and flags override both. LoadMesh reads those of
+// `eiderfold mesh`, from the file alone. Both report all invalid fields at once.
 //
 // # Usage
 //
@@ -40,7 +41,7 @@
 type file struct {
 	Node          string    `yaml:"node"`
 	DataCentre    string    `yaml:"data_centre"`
-	LocalUpstream string    `yaml:"beside"`
+	LocalUpstream string    `yaml:"beside"` // The upstream on the same instance.
 	Templates     []string  `yaml:"templates"`
 	Seeds         []string  `yaml:"seeds"`
 	Listen        listen    `yaml:"listen"`
