--- a/config/account.go
+++ b/config/account.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// MaxAccountName is the maximum length of a name accepted by CheckName, in bytes.
-const MaxAccountName = 64
+// MaxName is the maximum length of a name accepted by CheckName, in bytes.
+const MaxName = 64
 
 // Account is a client account: an instance of a template with its parameter
 // values. It stores only the values that differ from the defaults, to save memory.
@@ -111,8 +111,8 @@
 	if name == "" {
 		return errors.New("is empty")
 	}
-	if len(name) > MaxAccountName {
-		return errors.Errorf("%q is over %d bytes", name, MaxAccountName)
+	if len(name) > MaxName {
+		return errors.Errorf("%q is over %d bytes", name, MaxName)
 	}
 	for _, c := range name {
 		if !nameCharacter(c) {
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -109,11 +109,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	h := &peer.Heartbeat{
-		Beside: g.node.settings.LocalUpstream(),
-		Load:   g.loadsByIndex(g.load()),
-		Digest: digest(sequences),
-		Roster: g.roster.Version,
-		Epoch:  max(g.view.Epoch(), g.operations.Promised()),
+		LocalUpstream: g.node.settings.LocalUpstream(),
+		Load:          g.loadsByIndex(g.load()),
+		Digest:        digest(sequences),
+		Roster:        g.roster.Version,
+		Epoch:         max(g.view.Epoch(), g.operations.Promised()),
 	}
 	if g.sendSequences {
 		h.Sequences = sequences
@@ -175,11 +175,11 @@
 	if r.Leader != nil && r.Leader.Epoch > g.leader.Epoch {
 		g.adoptLeader(*r.Leader)
 	}
-	if !r.Coordinator || r.Stamped == nil {
+	if !r.Coordinator || r.Published == nil {
 		return
 	}
-	changed := g.view.Receive(*r.Stamped, sentAt)
-	if r.Stamped.Epoch == g.view.Epoch() {
+	changed := g.view.Receive(*r.Published, sentAt)
+	if r.Published.Epoch == g.view.Epoch() {
 		g.lastContact = time.Now()
 	}
 	if r.CrashedAgo > 0 {
--- a/node/leader.go
+++ b/node/leader.go
@@ -149,7 +149,7 @@
 	l.sequence++
 	published := g.published()
 	g.view.Receive(published, time.Time{})
-	g.broadcast(&peer.Push{Stamped: &published})
+	g.broadcast(&peer.Push{Published: &published})
 }
 
 func (g *Group) published() core.PublishedStates {
--- a/node/peers.go
+++ b/node/peers.go
@@ -81,7 +81,7 @@
 	}
 	reply.Coordinator = true
 	published := g.published()
-	reply.Stamped = &published
+	reply.Published = &published
 	if !g.lastCrash.IsZero() {
 		reply.CrashedAgo = int64(now.Sub(g.lastCrash))
 	}
@@ -91,7 +91,7 @@
 func (g *Group) applyEvidence(from peer.Identity, h *peer.Heartbeat, now time.Time) {
 	for name, tallies := range h.Evidence {
 		if s := g.services[name]; s != nil {
-			e := core.Evidence{At: now, Reporter: from.Node, LocalUpstream: h.Beside, Counts: g.counts(name, tallies)}
+			e := core.Evidence{At: now, Reporter: from.Node, LocalUpstream: h.LocalUpstream, Counts: g.counts(name, tallies)}
 			g.execute(name, s, s.detector.Update(e))
 		}
 	}
@@ -186,7 +186,7 @@
 	if p.Leader != nil {
 		g.adoptLeader(*p.Leader)
 	}
-	if p.Stamped != nil && g.view.Receive(*p.Stamped, time.Time{}) {
+	if p.Published != nil && g.view.Receive(*p.Published, time.Time{}) {
 		for name, s := range g.services {
 			g.updateBalancer(name, s)
 		}
--- a/peer/message.go
+++ b/peer/message.go
@@ -59,14 +59,14 @@
 // refers to upstreams by their index in the roster with version Roster, since names
 // would be most of the message.
 type Heartbeat struct {
-	Beside    string             `cbor:"1,keyasint,omitempty"`
-	Evidence  map[string][]Tally `cbor:"2,keyasint,omitempty"` // By service.
-	Load      map[string][]Load  `cbor:"3,keyasint,omitempty"` // Requests in flight, by service.
-	Sequences map[string]uint64  `cbor:"4,keyasint,omitempty"` // Omitted unless the receiver asked for them with WantSequences.
-	Digest    uint64             `cbor:"5,keyasint,omitempty"` // Of the sequences in force.
-	Roster    uint64             `cbor:"6,keyasint,omitempty"` // Version of the roster held.
-	Leaving   []string           `cbor:"7,keyasint,omitempty"` // Upstreams that announced that they are leaving.
-	Epoch     uint64             `cbor:"8,keyasint,omitempty"` // Newest epoch promised.
+	LocalUpstream string             `cbor:"1,keyasint,omitempty"` // On the instance of the sender, "" for none.
+	Evidence      map[string][]Tally `cbor:"2,keyasint,omitempty"` // By service.
+	Load          map[string][]Load  `cbor:"3,keyasint,omitempty"` // Requests in flight, by service.
+	Sequences     map[string]uint64  `cbor:"4,keyasint,omitempty"` // Omitted unless the receiver asked for them with WantSequences.
+	Digest        uint64             `cbor:"5,keyasint,omitempty"` // Of the sequences in force.
+	Roster        uint64             `cbor:"6,keyasint,omitempty"` // Version of the roster held.
+	Leaving       []string           `cbor:"7,keyasint,omitempty"` // Upstreams that announced that they are leaving.
+	Epoch         uint64             `cbor:"8,keyasint,omitempty"` // Newest epoch promised.
 }
 
 // Tally counts the answers of the upstream at Index of the roster.
@@ -90,7 +90,7 @@
 // sends no decisions or loads, but configuration, its roster and the current Leader.
 type HeartbeatReply struct {
 	Coordinator     bool                  `cbor:"1,keyasint,omitempty"`
-	Stamped         *core.PublishedStates `cbor:"2,keyasint,omitempty"`
+	Published       *core.PublishedStates `cbor:"2,keyasint,omitempty"` // Decisions of the coordinator.
 	Shards          map[string][]byte     `cbor:"3,keyasint,omitempty"`
 	Roster          *Roster               `cbor:"4,keyasint,omitempty"`
 	Load            map[string][]Load     `cbor:"5,keyasint,omitempty"`  // In-flight requests of all nodes, by service.
@@ -141,10 +141,10 @@
 // Push sends changes at once, without waiting for the next heartbeat, which would
 // carry them too.
 type Push struct {
-	Stamped *core.PublishedStates `cbor:"1,keyasint,omitempty"`
-	Shards  map[string][]byte     `cbor:"2,keyasint,omitempty"`
-	Roster  *Roster               `cbor:"3,keyasint,omitempty"`
-	Leader  *Leader               `cbor:"4,keyasint,omitempty"`
+	Published *core.PublishedStates `cbor:"1,keyasint,omitempty"` // Decisions of the coordinator.
+	Shards    map[string][]byte     `cbor:"2,keyasint,omitempty"`
+	Roster    *Roster               `cbor:"3,keyasint,omitempty"`
+	Leader    *Leader               `cbor:"4,keyasint,omitempty"`
 }
 
 // Claim asks the coordinator for the right to start an operation. Replaces names a
