--- a/bench/soak/soak.go
+++ b/bench/soak/soak.go
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// end kills all nodes.
+// killNodes kills all nodes.
 func (s *soak) killNodes() {
 	for _, n := range s.nodes {
 		n.kill()
--- a/core/doc.go
+++ b/core/doc.go
@@ -1,15 +1,17 @@
 // Package core implements the decisions of eiderfold as pure state machines: no
-// clock, no I/O, no goroutines. Each type changes state only in its Update method,
-// which takes a typed message and returns commands for the caller to carry out.
+// clock, no I/O, no goroutines. All but View handle typed messages in an Update method.
+// OutlierDetector's returns commands for the caller to carry out, ClaimTable's an answer
+// and OperationTable's a report. Apart from that, only setters such as SetPolicy change
+// their state.
 //
-// There are four state machines:
+// The state machines are:
 //
 //   - OutlierDetector ejects and readmits the upstreams of one service. Only the
 //     coordinator's decides; see outlier.go.
 //   - LocalWeights shifts one node's own traffic at once, based on that node's own
 //     observations.
 //   - View holds the coordinator's decisions that a node has received, and the end
-//     of their lease.
+//     of their lease. Its methods Receive and Promise change its state.
 //   - ClaimTable and OperationTable keep an operation from running twice.
 //
 // # Usage
--- a/core/operation.go
+++ b/core/operation.go
@@ -65,8 +65,8 @@
 }
 
 // TakeOver starts an epoch of this coordinator. From lists the nodes that may hold
-// operations of earlier epochs and have not reported them yet. Until LostUntil, operations
-// may be claimed whose grants are lost for good.
+// operations of earlier epochs and have not reported them yet. Until LostUntil, a claim may be
+// for an operation whose grant is lost for good.
 type TakeOver struct {
 	At        time.Time
 	Epoch     uint64
@@ -80,7 +80,7 @@
 	At        time.Time
 	Node      string
 	Held      []Held
-	LostUntil time.Time // Until when operations may be claimed whose grants this node knows to be lost.
+	LostUntil time.Time // Until when a claim may be for an operation whose grant this node knows to be lost.
 	// Complete is set if the node was the previous coordinator and reports every grant
 	// of the window. Other losses do not matter then.
 	Complete bool
@@ -228,8 +228,8 @@
 	c.complete = c.complete || m.Complete
 }
 
-// nodeGone stops waiting for a node. Grants that only it had may be claimed again until
-// the window is over.
+// nodeGone stops waiting for a node. Grants that only it had are lost: for one window, a claim
+// of an unknown key may be for such an operation, and can be answered with Unconfirmed.
 func (c *ClaimTable) nodeGone(m NodeGone) {
 	if !c.waiting[m.Node] {
 		return
--- a/core/operationtable.go
+++ b/core/operationtable.go
@@ -140,7 +140,7 @@
 	entries   map[Key]*attempt
 	witnessed map[Key][]Held // All of a key: an older grant that arrives late must not replace a newer one.
 	expiries  expiryQueue
-	answers   []Key // Keys of recorded answers, oldest first, for eviction.
+	answers   []Key // Keys in the order in which answers were recorded, for eviction. Keys whose answer is removed otherwise stay.
 }
 
 // attempt is this node's latest attempt at an operation, or an adopted one.
@@ -224,7 +224,8 @@
 	return held
 }
 
-// Holdings returns the entries' holders, for the coordinator.
+// Holdings returns the entries' holders: what a stopping node reports to the coordinator when
+// it hands the entries over.
 func Holdings(entries []Entry) []Held {
 	held := make([]Held, 0, len(entries))
 	for _, e := range entries {
--- a/core/outlier.go
+++ b/core/outlier.go
@@ -25,7 +25,7 @@
 	Lease = 3 * time.Second
 	// Settle is how long after its grant a lease may still be in use: the clock of its
 	// node may run slow. For this long, a readmitted upstream still counts against the
-	// floor and a new coordinator waits before it decides.
+	// floor for further ejections and a new coordinator waits before it decides.
 	Settle = Lease + Lease/4
 
 	minBackoff   = 2 * time.Second
@@ -54,7 +54,8 @@
 // Phase is the ejection phase of an upstream.
 type Phase uint8
 
-// Phases of an upstream. Only Out and Trial count against the floor.
+// Phases of an upstream. Out and Trial count against the floor; for further ejections, so does
+// an upstream that was readmitted less than Settle ago.
 const (
 	In    Phase = iota // In rotation.
 	Out                // Ejected; gets no requests.
@@ -108,7 +109,7 @@
 type upstreamState struct {
 	phase        Phase
 	until        time.Time // End of the current back-off, trial or ramp.
-	countedUntil time.Time // Until when a readmitted upstream counts against the floor.
+	countedUntil time.Time // Until when a readmitted upstream counts against the floor for further ejections.
 	forgetAt     time.Time // When ejections is reset.
 	ejections    int       // Recent ejections; determines the back-off.
 	trial        float64   // Log-likelihood ratio of the current trial.
@@ -402,6 +403,7 @@
 		}
 		switch s.phase {
 		case Out, Trial:
+			// The reason is the same for a trial that is restarted without a result.
 			s.phase, s.trial = Trial, 0
 			s.until = at.Add(trialTimeout)
 			commands = append(commands, LogDecision{At: at, Upstream: u, Phase: Trial, Reason: "back-off over"})
--- a/link/link.go
+++ b/link/link.go
@@ -1,6 +1,9 @@
 // Package link carries messages between two nodes: length-prefixed CBOR over one
-// TCP connection, in both directions. It preserves order, never blocks a sender,
-// and detects an unresponsive peer within seconds.
+// TCP connection, in both directions. It preserves order and never blocks a sender.
+// It answers pings and records when messages and ping replies arrived, so that its user
+// can detect an unresponsive peer. A link closes itself if too many messages are queued, if
+// a write takes longer than four seconds or, if it was dialed, if sent bytes stay
+// unacknowledged for as long.
 //
 // # Usage
 //
@@ -56,7 +59,8 @@
 	meter        atomic.Pointer[Meter]
 }
 
-// Dial connects to a node from the given local IP address.
+// Dial connects to a node from the given local IP address. A node passes the one at which it
+// accepts links itself, so that it has the same address in both directions.
 func Dial(ctx context.Context, from net.IP, address string) (*Link, error) {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: ackTimeout / 2, Control: control, LocalAddr: &net.TCPAddr{IP: from}}
 	conn, err := d.DialContext(ctx, "tcp4", address)
@@ -69,7 +73,7 @@
 // control makes the kernel close a connection whose bytes stay unacknowledged.
 func control(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
-		// Without the option, pings still detect a dead peer.
+		// Without the option, the pings of the link's user still detect a dead peer.
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(ackTimeout.Milliseconds()))
 	})
 }
@@ -99,7 +103,7 @@
 // Ping requests a ping reply from the peer; LastPong returns when the last one arrived.
 func (l *Link) Ping() { l.Send(&Frame{Ping: &Ping{}}) }
 
-// Close closes the link and its connection. It may be called more than closeOnce.
+// Close closes the link and its connection. It may be called more than once.
 func (l *Link) Close() {
 	l.closeOnce.Do(func() {
 		close(l.closed)
@@ -121,10 +125,12 @@
 func (l *Link) RemoteAddr() string { return l.conn.RemoteAddr().String() }
 
 // Run writes queued messages and passes received ones to handle until the link
-// fails or is closed. It returns the cause.
+// fails or is closed. It returns the error that ended reading. If the link was closed at
+// this end, which includes a failed write and a full outbox, that is the error of reading
+// from a closed connection.
 func (l *Link) Run(handle func(*Frame)) error {
 	defer l.Close()
-	go l.write()
+	go l.runWriter()
 	in := bufio.NewReaderSize(l.conn, bufferBytes)
 	for {
 		f, err := read(in)
@@ -166,9 +172,9 @@
 // node has many links and most of them are idle.
 var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferBytes) }}
 
-// write sends queued messages until the link is closed, batching those that are
-// queued at the same time.
-func (l *Link) write() {
+// runWriter writes queued messages until the link is closed or a write fails, batching
+// those that are queued at the same time.
+func (l *Link) runWriter() {
 	defer l.Close()
 	for {
 		select {
@@ -179,14 +185,14 @@
 		// Set before encoding: a message larger than the buffer is partly written
 		// before the flush.
 		_ = l.conn.SetWriteDeadline(time.Now().Add(ackTimeout)) // Fails only on a closed connection, as the write then does.
-		if l.send(l.outbox.take()) != nil {
+		if l.writeBatch(l.outbox.take()) != nil {
 			return
 		}
 	}
 }
 
-// send encodes messages and writes them.
-func (l *Link) send(frames []*Frame) error {
+// writeBatch encodes messages and writes them to the connection.
+func (l *Link) writeBatch(frames []*Frame) error {
 	out := writerPool.Get().(*bufio.Writer)
 	defer writerPool.Put(out)
 	out.Reset(l.conn)
--- a/link/message.go
+++ b/link/message.go
@@ -38,7 +38,7 @@
 	Retryable     bool               `cbor:"8,keyasint,omitempty"`
 	Force         bool               `cbor:"9,keyasint,omitempty"`  // Too few gates are open: on trial, accept it even if not retryable.
 	Content       *Content           `cbor:"10,keyasint,omitempty"` // If set, a free slot starts it without a commit.
-	Target        time.Duration      `cbor:"11,keyasint,omitempty"` // Time until the target deadline, negative once passed; 0 for the deadline.
+	Target        time.Duration      `cbor:"11,keyasint,omitempty"` // Time until the target deadline, after which an answer loses most of its value; negative once passed, 0 for none.
 	AttemptKind   budget.AttemptKind `cbor:"12,keyasint,omitempty"` // First, charged, failure retry or hedge.
 	Kind          uint32             `cbor:"13,keyasint,omitempty"` // Groups requests with similar response times.
 	Account       string             `cbor:"14,keyasint,omitempty"` // The client account it is made for.
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -11,9 +11,10 @@
 // sums by range follows Demers and others (Epidemic algorithms for replicated database
 // maintenance, 1987).
 //
-// Of each service a node keeps links to some nodes of its own data centre and to some of the
-// others: the first in an order of its own, so that every gate is dialed by about as many
-// nodes as any other. The selection always takes all known nodes into account: a link that is
+// For each service, a node keeps links to some nodes in its own data centre and to some in the
+// other data centres. It takes the first in an order of preference, which is by a hash that
+// differs from node to node, so that every node is dialed by about as many nodes as any other
+// of its service. The selection always takes all known nodes into account: a link that is
 // displaced by a preferred one is dropped.
 //
 // # Usage
--- a/membership/message.go
+++ b/membership/message.go
@@ -29,7 +29,9 @@
 	Address string
 }
 
-// Needed requests a link to a node whether it is selected or not.
+// Needed requests a link to a node that is not dialed, although it is not selected. For a node
+// that is dialed already it has no effect: if that is so because the node is selected, its link
+// is dropped once the node is displaced from the selection.
 type Needed struct {
 	At      time.Time
 	Address string
--- a/membership/view.go
+++ b/membership/view.go
@@ -16,8 +16,8 @@
 // entry is the record of another node and the values derived from it.
 type entry struct {
 	link.Record
-	rank       uint64    // Position in an order that is the same at all nodes.
-	preference uint64    // Position in this node's own order of preference.
+	rank       uint64    // Sort key of the ranking that is the same at all nodes: a hash.
+	preference uint64    // Sort key of this node's own order of preference, lowest first: a hash.
 	sum        uint64    // Its part of the sum of its range.
 	goneSince  time.Time // When this node learned that it is gone.
 }
@@ -70,7 +70,8 @@
 // Fleet returns the number of nodes, including this one.
 func (v *View) Fleet() int { return v.alive + 1 }
 
-// Gates returns the number of nodes of a service.
+// Gates returns the number of gates of a service: of its nodes, each of which has one, this one
+// included and gone ones left out.
 func (v *View) Gates(service string) int { return v.services[service] }
 
 // RankedBefore returns the number of nodes that rank before this one.
@@ -94,7 +95,7 @@
 	return e.Member, true
 }
 
-// Each calls f for every other node that is not gone.
+// Each calls f for every other node that is not gone, for example to rank them for an account.
 func (v *View) Each(f func(m link.Member)) {
 	for _, e := range v.entries {
 		if !e.Gone {
@@ -201,8 +202,8 @@
 	return []Command{Updates{Records: []link.Record{gone}}}
 }
 
-// ticked updates the links to the selection, and starts a comparison with another node if one
-// is due.
+// ticked makes the links match the selection. If a comparison with another node is due, it
+// also removes the records of nodes that are long gone and starts the comparison.
 func (v *View) ticked(at time.Time) []Command {
 	out := v.reconcile()
 	if v.comparisons.due(at) {
--- a/mesh/dump.go
+++ b/mesh/dump.go
@@ -22,14 +22,14 @@
 	Rate     float64 `json:"rate"`
 	Burst    float64 `json:"burst"`
 	Left     float64 `json:"left"`  // Tokens left, in requests.
-	Capacity float64 `json:"holds"` // Value of left when the account is idle.
+	Capacity float64 `json:"holds"` // Capacity of the bucket: the value of left when the account is idle.
 }
 
 type gateDump struct {
 	Mode      string  `json:"mode"`
 	Upstream  string  `json:"upstream"`
 	Slots     int     `json:"slots"`
-	InFlight  int     `json:"in_hand"`
+	InFlight  int     `json:"in_hand"` // Offers that have not ended.
 	Suspicion float64 `json:"suspicion"`
 }
 
--- a/mesh/limitpeers.go
+++ b/mesh/limitpeers.go
@@ -109,15 +109,17 @@
 	from.Send(&link.Frame{LimitReply: &link.LimitReply{Number: m.Number, Granted: a.Granted, Unknown: a.Unconfirmed, RetryAfter: a.After}})
 }
 
-// handleReports charges tokens that other nodes have spent.
+// handleReports applies other nodes' reports of tokens that were spent without their home or
+// are returned.
 func (l *limits) handleReports(list []link.LimitReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.charge(list)
 }
 
-// charge charges spent tokens. The lock must be held. For an account whose home is another
-// node, the limiter counts them as spent here and reports them to that home.
+// charge charges spent tokens, or credits returned ones, whose count is negative. The lock
+// must be held. For an account whose home is another node, the limiter adds them to this
+// node's own and reports them to that home.
 func (l *limits) charge(list []link.LimitReport) {
 	now := time.Now()
 	for _, r := range list {
--- a/mesh/limits.go
+++ b/mesh/limits.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// limitFlush is how long returned tokens are collected before they are reported: an
-	// account whose requests are refused for lack of slots returns many.
+	// limitFlush is how long spent and returned tokens are collected before they are
+	// reported: an account whose requests are refused for lack of slots returns many.
 	limitFlush = 40 * time.Millisecond
 	// limitCheckEvery is the interval at which the reachable share of the fleet is
 	// determined, and limitPingTimeout is how long a node may take to answer a ping, enough
-	// for one retransmission. Together they bound how long a home may grant tokens that
-	// nodes it has just lost admit as well.
+	// for one retransmission. A home that pings all nodes reduces its rate at most
+	// this interval plus this timeout after it has lost some; until then, it grants tokens
+	// that the lost nodes admit as well.
 	limitCheckEvery  = 350 * time.Millisecond
 	limitPingTimeout = 220 * time.Millisecond
 	// maxUses bounds the number of accounts in a dump.
@@ -140,6 +141,7 @@
 		case quota.Report:
 			reports[c.To] = append(reports[c.To], link.LimitReport{Account: c.Account, Count: c.Count})
 		case quota.OverLimit:
+			// In the log, "holds" is the capacity of the account's bucket.
 			l.node.log.Info("account over its limit", zap.String("account", c.Account), zap.Float64("rate", c.Limit.Rate), zap.Float64("burst", c.Limit.Burst),
 				zap.Float64("left", c.Left), zap.Float64("holds", c.Depth), zap.Int("refused", c.Refused))
 		case quota.Claim:
@@ -180,7 +182,8 @@
 	}
 }
 
-// report sends spent tokens to their home, which may be this node.
+// report sends the counts of spent tokens, negative for returned ones, to their home, which
+// may be this node.
 func (l *limits) report(home string, list []link.LimitReport) {
 	if home == l.node.self.Address {
 		l.charge(list)
@@ -207,13 +210,13 @@
 	l.execute(l.limiter.Update(quota.Answered{At: now, Number: m.Number, Granted: m.Granted, Unknown: m.Unknown, RetryAfter: m.RetryAfter}), now)
 }
 
-// flush reports returned tokens.
+// flush reports the tokens that were spent without a home or are returned.
 func (l *limits) flush() {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.flushScheduled = false
-	l.execute(l.limiter.Update(quota.Flushed{At: now}), now)
+	l.execute(l.limiter.Update(quota.FlushDue{At: now}), now)
 }
 
 // uses returns the accounts whose home this node is, those that use most of their limits
--- a/mesh/links.go
+++ b/mesh/links.go
@@ -122,7 +122,8 @@
 	return out
 }
 
-// check pings idle links and closes unresponsive ones.
+// check pings idle dialed links, closes unresponsive ones and drained ones without requests,
+// closes silent inbound links, and sends these the status if that is due.
 func (l *links) check(now time.Time) {
 	for _, p := range l.all() {
 		p.check(now)
--- a/mesh/metrics.go
+++ b/mesh/metrics.go
@@ -73,8 +73,9 @@
 	}
 }
 
-// summaryEvery is the interval of the log line with all counters. It shows in a log alone
-// how many lines were left out of it.
+// summaryEvery is the interval of the log line with all counters. Log lines are sampled, and
+// dropped while the output is slow; counters of both are among them, so that a log shows how
+// many of its lines are missing.
 const summaryEvery = 10 * time.Second
 
 // summarize logs the counters periodically until ctx ends.
--- a/mesh/node.go
+++ b/mesh/node.go
@@ -98,7 +98,9 @@
 	n.log.Info("reload", zap.Bool("restart_needed", restartNeeded))
 }
 
-// callerLimits returns the limits on callers' requests that are in force.
+// callerLimits returns the limits on the size and time of callers' requests that are in force.
+// The ingress server calls it for each request, so that a new configuration takes effect
+// without a restart, and uses its default in place of a limit of 0.
 func (n *Node) callerLimits() route.Limits {
 	if t := n.forwarder.Table(); t != nil {
 		return t.Limits()
--- a/mesh/pack.go
+++ b/mesh/pack.go
@@ -8,12 +8,14 @@
 	"github.com/pkg/errors"
 )
 
-// maxConfiguration bounds an uncompressed configuration in bytes, so that a faulty peer
-// cannot exhaust the memory. It is far above the store's limit of one megabyte.
-const maxConfiguration = 8 << 20
+// maxUnpacked bounds a decompressed text (a configuration or membership records) in bytes, so
+// that a faulty peer cannot exhaust the memory. It is far above the store's limit of one
+// megabyte for a configuration.
+const maxUnpacked = 8 << 20
 
-// pack compresses a text. A configuration with thousands of routes is hundreds of kilobytes
-// of repetitive text, which every node receives from another.
+// pack compresses a configuration or a list of membership records. A configuration with
+// thousands of routes is hundreds of kilobytes of repetitive text, which every node receives
+// from another.
 func pack(text []byte) []byte {
 	var out bytes.Buffer
 	w, _ := gzip.NewWriterLevel(&out, gzip.BestSpeed) // Fails only on an unknown level.
@@ -28,11 +30,11 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "unpack")
 	}
-	text, err := io.ReadAll(io.LimitReader(r, maxConfiguration+1))
+	text, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "unpack")
 	}
-	if len(text) > maxConfiguration {
+	if len(text) > maxUnpacked {
 		return nil, errors.New("unpack: the text is too large")
 	}
 	return text, nil
--- a/mesh/pack_test.go
+++ b/mesh/pack_test.go
@@ -26,7 +26,7 @@
 // Uncompressed, truncated and oversized input must be refused.
 func TestUnpackRefuses(t *testing.T) {
 	good := pack([]byte(strings.Repeat("x", 1000)))
-	for _, bad := range [][]byte{nil, []byte("{}"), good[:len(good)/2], pack(make([]byte, maxConfiguration+1))} {
+	for _, bad := range [][]byte{nil, []byte("{}"), good[:len(good)/2], pack(make([]byte, maxUnpacked+1))} {
 		_, err := unpack(bad)
 		assert.Error(t, err)
 	}
--- a/mesh/quarantine.go
+++ b/mesh/quarantine.go
@@ -77,7 +77,8 @@
 }
 
 // handleQuarantined logs that a request is quarantined, and queues its record for the store if it
-// crashed the local upstream.
+// crashed the local upstream. In the log, a quarantined request is "held", "ended" lists the
+// crashed upstreams, "holds" counts the quarantines and "hold" is the remaining time.
 func (q *quarantineSync) handleQuarantined(c quarantine.Quarantined) {
 	q.node.log.Warn("request held", zap.Stringer("request", c.Record.Fingerprint), zap.Strings("ended", c.Record.Crashed),
 		zap.Uint32("holds", c.Record.Quarantines), zap.Duration("hold", c.Record.Remaining), zap.Bool("own", c.Own))
@@ -88,7 +89,7 @@
 }
 
 // release logs that a request is no longer quarantined, and queues the removal of its
-// record if this node found out.
+// record if this node cleared the request, or stored the record and it has expired.
 func (q *quarantineSync) release(c quarantine.Release) {
 	q.node.log.Info("request released", zap.Stringer("request", c.Fingerprint), zap.String("cause", c.Cause))
 	delete(q.stored, c.Fingerprint)
--- a/mesh/quarantinestore.go
+++ b/mesh/quarantinestore.go
@@ -58,12 +58,12 @@
 	return q.writes[0]
 }
 
-// storedRecord is a quarantined request as stored.
+// storedRecord is a quarantined request as stored. Its names are those of the stored format.
 type storedRecord struct {
-	Ended     []string  `json:"ended"`
+	Ended     []string  `json:"ended"` // Incarnations that crashed while running it.
 	Cleared   uint32    `json:"cleared,omitempty"`
-	Holds     uint32    `json:"holds"`
-	HeldUntil time.Time `json:"held_until"`
+	Holds     uint32    `json:"holds"`      // How often it has been quarantined.
+	HeldUntil time.Time `json:"held_until"` // End of its quarantine.
 	Expires   time.Time `json:"expires"`
 }
 
--- a/port/mesh.go
+++ b/port/mesh.go
@@ -15,7 +15,8 @@
 var (
 	// ErrCompacted is returned if the store no longer has the history that a watch needs.
 	ErrCompacted = errors.New("history is gone")
-	// ErrConflict is returned if the condition of a write did not hold.
+	// ErrConflict is returned if the platform answers that the condition of a write did not
+	// hold. Directory has only writes without a condition.
 	ErrConflict = errors.New("condition does not hold")
 )
 
@@ -58,6 +59,7 @@
 }
 
 // Directory is the key-value store of `eiderfold mesh`, with watches of limited duration.
+// `eiderfold run` uses a Store instead.
 type Directory interface {
 	// Get reads a key and the store revision. It returns ErrMissing if there is no such key.
 	Get(ctx context.Context, key string) (Entry, StoreRevision, error)
@@ -81,7 +83,7 @@
 // RequestMetadata holds the metadata that a caller sends with a request.
 type RequestMetadata struct {
 	Attempt    string        // Identifies this attempt of the caller; each retry has another one.
-	Parent     string        // For a nested request, the parent's attempt, if Attempt names it.
+	Parent     string        // For a nested request, the attempt of its parent, if that is part of Attempt; otherwise "".
 	Timeout    time.Duration // The caller's timeout from now; 0 if not sent.
 	Malformed  bool          // A header that eiderfold defines cannot be parsed.
 	AccountKey string        // Key of a client account; "" if missing or malformed.
@@ -97,7 +99,7 @@
 
 // ResponseMetadata holds the metadata that an upstream sends with a response.
 type ResponseMetadata struct {
-	Attempt  string // The request it belongs to.
+	Attempt  string // The attempt it responds to, as in RequestMetadata; "" if not sent.
 	Upstream string // ID of the upstream that responded; "" if not sent.
 	NotRun   bool   // The request was refused and has not run.
 	Genuine  bool   // The response is marked as an upstream's own.
@@ -130,7 +132,8 @@
 	StartedAt int64  // Start time in Unix milliseconds by the upstream's clock; 0 if not reported.
 }
 
-// String returns a unique name of the incarnation, for logs and keys.
+// String returns a name of the incarnation, for logs and keys. Without a start time it is
+// the ID, which a later run may have too.
 func (i Incarnation) String() string {
 	if i.StartedAt == 0 {
 		return i.ID
--- a/port/port.go
+++ b/port/port.go
@@ -38,7 +38,8 @@
 	Removed bool   // Set by a watch if the key was deleted; Value is empty.
 }
 
-// Store is the platform's key-value service. Every call counts against its rate
+// Store is the platform's key-value service, as used by `eiderfold run` and its
+// administration; `eiderfold mesh` uses a Directory instead. Every call counts against its rate
 // limit, including a Watch that waits.
 type Store interface {
 	// Get reads one key. It returns ErrMissing or ErrUnavailable.
--- a/quarantine/message.go
+++ b/quarantine/message.go
@@ -52,10 +52,11 @@
 	// store by the nodes whose own upstreams crashed while running it.
 	Quarantined struct {
 		Record Record
-		Own    bool
+		Own    bool // One of this node's own upstreams crashed: this node stores the record.
 	}
-	// Release reports that a request is no longer quarantined. With Own set, this node removes the
-	// record from the store.
+	// Release reports that a request is no longer quarantined, or that its record has expired.
+	// Own has another meaning than in Quarantined: this node removes the record from the store,
+	// also if it has cleared a request that crashed only upstreams of other nodes.
 	Release struct {
 		Fingerprint Fingerprint
 		Own         bool
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -7,8 +7,8 @@
 
 const (
 	// minCrashes is the number of upstreams that crash while running a request before it is
-	// quarantined: as many as the users accept. One may be a coincidence, and two are common for
-	// a request that is retried on the same upstreams as the one that crashes them.
+	// quarantined: the users accept the loss of as many. One may be a coincidence, and two are
+	// common for a harmless request that is retried on upstreams which another request crashes.
 	minCrashes = 3
 	// firstPeriod is the first quarantine period of a request; each further crash multiplies it
 	// by periodGrowth. After a period, the next answer clears a request that was quarantined
@@ -38,8 +38,9 @@
 // responsible reports whether the crashes are to be attributed to the request itself.
 func (r Record) responsible() bool { return len(r.Crashed) >= minCrashes && r.Repeated }
 
-// significant reports whether the record is worth sending to all nodes: a single crash is
-// usually unrelated to the request.
+// significant reports whether all nodes need the record. It is then passed on by the nodes that
+// receive it and sent over new links, and its clearing is announced. A single crash is usually
+// unrelated to the request: it is only sent to the nodes linked to the one that observed it.
 func (r Record) significant() bool { return len(r.Crashed) > 1 || r.Cleared > 0 }
 
 // quarantinePeriod returns the duration of the nth quarantine of a request.
--- a/quarantine/sharedtracker.go
+++ b/quarantine/sharedtracker.go
@@ -44,7 +44,8 @@
 	return Record{Fingerprint: f}
 }
 
-// Crashes returns the incarnations that are known to have crashed while running a request.
+// Crashes returns the incarnations that are known to have crashed while running a request, for
+// tests.
 func (t *SharedTracker) Crashes(f Fingerprint) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -15,7 +15,7 @@
 const (
 	causeAnswered = "answered"
 	causeExpired  = "time passed"
-	causeNode     = "another node's word"
+	causeNode     = "another node's word" // A record received from another node or the store.
 	causeOperator = "operator"
 )
 
@@ -79,6 +79,8 @@
 	if !isNew {
 		return nil
 	}
+	// A crash ends no quarantine, so the cause matters only if a received record was quarantined
+	// with fewer than minCrashes crashes and its quarantine has just run out.
 	return append([]Command{Broadcast{Record: e.export(m.At)}}, e.transition(m.At, causeNode)...)
 }
 
@@ -141,8 +143,8 @@
 	return append(out, e.transition(at, causeNode)...)
 }
 
-// mergeQuarantine takes over a quarantine that another node reports, or starts one that
-// follows from both records together.
+// mergeQuarantine ends the quarantine if the received record was cleared since, takes over one
+// that the received record reports, or starts one that follows from both records together.
 func (e *entry) mergeQuarantine(at time.Time, before, received Record) {
 	switch {
 	case e.Cleared > before.Cleared && e.Quarantines == 0:
@@ -169,7 +171,8 @@
 	return []Command{Release{Fingerprint: e.Fingerprint, Cause: cause}}
 }
 
-// export returns the entry's record as sent to other nodes.
+// export returns the entry's record as sent to other nodes. Its times are durations from now,
+// which do not depend on the receiver's clock.
 func (e *entry) export(at time.Time) Record {
 	out := e.Record
 	out.TTL = e.expires.Sub(at)
--- a/quota/home.go
+++ b/quota/home.go
@@ -221,7 +221,9 @@
 	return min(after, maxRetryAfter)
 }
 
-// sweep removes accounts that have been unused for long enough that their buckets are full.
+// sweep removes accounts that have been unused for idleTime. Their buckets are full by then,
+// unless what is missing takes longer than idleTime to refill: a new bucket may then start with
+// more tokens than the removed one had.
 func (h *Home) sweep(now time.Time) {
 	if now.Before(h.lastSweep.Add(idleTime)) {
 		return
@@ -246,7 +248,7 @@
 }
 
 // Uses returns at most limit accounts whose home is this node, those with the smallest
-// fraction of tokens left first.
+// fraction of tokens left first, for the node's dump.
 func (h *Home) Uses(now time.Time, limit int) []Use {
 	var out []Use
 	for name, a := range h.accounts {
--- a/quota/homes.go
+++ b/quota/homes.go
@@ -209,8 +209,10 @@
 	return p.Via, ok
 }
 
-// Claimed records a claim by the home of accounts for which this node may act as home. Even
-// without a link to the claimant yet, this node does not act in its place for claimValidity.
+// Claimed records a claim by the home of accounts for which this node may act as home. If the
+// claimant is suspected, this node does not act in its place for claimValidity, even without a
+// link to it yet. Otherwise the claim has no effect: this node acts in place of suspected nodes
+// only, and a suspicion that begins later does not take the claim into account.
 func (h *Homes) Claimed(node string, now time.Time) {
 	if s := h.suspects[node]; s != nil {
 		s.claimedUntil = now.Add(claimValidity)
@@ -220,8 +222,8 @@
 
 // Successors returns the nodes that may act as an account's home in place of this one, by
 // rank, and pings them: up to the first that is reachable according to its replies, and
-// maxSuccessors at most. If only the first successor received the claim while unreachable,
-// the node ranked after it would not learn that the account has a home.
+// maxSuccessors at most. If only the first successor were sent the claim and it is
+// unreachable, the node ranked after it would not learn that the account has a home.
 func (h *Homes) Successors(account string, now time.Time) []string {
 	var out []string
 	excluded := map[string]bool{h.fleet.Self(): true}
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -81,7 +81,7 @@
 		l.spend(m.Account, m.Count)
 	case HomeLost:
 		l.homeLost(m)
-	case Flushed:
+	case FlushDue:
 		return l.flush()
 	}
 	return nil
@@ -127,9 +127,11 @@
 	l.unflushed[account] = true
 }
 
-// decideLocally decides by this node's own share of the limit. A node that has just lost its
-// home starts with a token or without one at random, so that the nodes that lose it together
-// have no more in total than toleranceShare allows.
+// decideLocally decides by this node's own share of the limit. The account's first decision
+// without a home starts its local bucket at random with a token or with part of one, so that
+// the nodes that lose a home together start on average with no more whole tokens in total than
+// toleranceShare allows. The bucket is kept until sweep removes the account: after a later
+// loss, it starts with the tokens that have accrued by then, one at most.
 func (l *Limiter) decideLocally(now time.Time, number uint64, a *accountState, account string) []Command {
 	if a.local == nil {
 		a.local = &bucket{depth: 1, level: l.random(), updatedAt: now}
--- a/quota/message.go
+++ b/quota/message.go
@@ -76,8 +76,8 @@
 		At   time.Time
 		Home string
 	}
-	// Flushed reports that the tokens spent or returned are due to be reported.
-	Flushed struct{ At time.Time }
+	// FlushDue reports that the tokens spent or returned are due to be reported.
+	FlushDue struct{ At time.Time }
 )
 
 func (m TokenRequested) at() time.Time { return m.At }
@@ -89,7 +89,7 @@
 func (m Returned) at() time.Time       { return m.At }
 func (m Misdirected) at() time.Time    { return m.At }
 func (m HomeLost) at() time.Time       { return m.At }
-func (m Flushed) at() time.Time        { return m.At }
+func (m FlushDue) at() time.Time       { return m.At }
 
 // Command is an action that Home or Limiter requests.
 type Command interface{ command() }
--- a/quota/modelnode_test.go
+++ b/quota/modelnode_test.go
@@ -358,7 +358,7 @@
 		n.after(modelFlushDelay, func() {
 			if n.life == life && n.alive {
 				n.flushed = false
-				n.do(n.limiter.Update(Flushed{At: n.time()}))
+				n.do(n.limiter.Update(FlushDue{At: n.time()}))
 			}
 		})
 	}
--- a/quota/script_test.go
+++ b/quota/script_test.go
@@ -121,7 +121,7 @@
 				case step.Lost != "":
 					m = HomeLost{At: at, Home: step.Lost}
 				case step.Flushed:
-					m = Flushed{At: at}
+					m = FlushDue{At: at}
 				}
 				assert.Equal(t, step.Want, formatAll(l.Update(m)), "step %d", i)
 			}
@@ -181,7 +181,7 @@
 	assert.Len(t, h.Uses(scriptStart, 1000), 100)
 	later := scriptStart.Add(idleTime + time.Second)
 	h.Update(Reported{At: later, Account: "one", Limit: scriptLimit})
-	l.Update(Flushed{At: later})
+	l.Update(FlushDue{At: later})
 	assert.Len(t, h.Uses(later, 1000), 1, "the one that was just reported for")
 	assert.Empty(t, l.accounts)
 }
