--- a/gate/gate.go
+++ b/gate/gate.go
@@ -20,7 +20,7 @@
 	tickInterval = 50 * time.Millisecond
 	// answerRetention is how long the result of a finished attempt is kept for an OutcomeQuery
 	// after a broken link. It has to exceed how long an ingress waits for the link (its
-	// rejoinTime).
+	// reconnectTimeout).
 	answerRetention = 6 * time.Second
 )
 
